--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -57,7 +57,9 @@
     return Brain(settings, 1)
 
 
-def endpoint(destination: int, number: int, listed: it.Listed = it.Listed.READY) -> it.Endpoint:
+def endpoint(
+    destination: int, number: int, listed: it.EndpointStatus = it.EndpointStatus.READY
+) -> it.Endpoint:
     name = f"d{destination:06}-{number}"
     return it.Endpoint(name, "abcdefgh"[number], "shop", destination, listed, 50.0)
 
@@ -76,7 +78,7 @@
 
     def change() -> None:
         number = next(turn)
-        listed = it.Listed.READY if number % 2 else it.Listed.DRAINING
+        listed = it.EndpointStatus.READY if number % 2 else it.EndpointStatus.DRAINING
         brain.round(1.0 + number, [it.ListUpdate((endpoint(destinations // 2, 0, listed),))])
 
     return {"brain.memory": memory, "brain.list_change": median_seconds(change)}
--- a/ryestack/benchlink/codec.py
+++ b/ryestack/benchlink/codec.py
@@ -15,7 +15,7 @@
     "CANCELLED": it.Result.CANCELLED,
     "TOO_LATE": it.Result.NOT_SENT,
 }
-LISTED = {1: it.Listed.READY, 2: it.Listed.DRAINING, 0: it.Listed.GONE}
+LISTED = {1: it.EndpointStatus.READY, 2: it.EndpointStatus.DRAINING, 0: it.EndpointStatus.GONE}
 SCOPES = (0, 1, 2, 3)  # delta, full, cached, failed
 
 
@@ -111,9 +111,9 @@
     return it.Outcome(name, push, endpoint, result, elapsed, ended, wait, limit, left=left)
 
 
-def _woken(f: Fields) -> it.Woken:
+def _woken(f: Fields) -> it.TimerFired:
     f.next("cookie", int)
-    return it.Woken()
+    return it.TimerFired()
 
 
 def _pass_over(f: Fields) -> None:
@@ -133,10 +133,10 @@
 ACTIONS = {  # here a call begins at once: there is none to call off
     it.Push: lambda r, a: ["Route", r, a.id, a.endpoint, round(a.timeout * 1000.0, 3)],
     it.Cancel: lambda r, a: ["DropAttempt", r, a.id, a.push],
-    it.HangUp: lambda r, a: ["HangUp", r, a.endpoint],
+    it.CloseIdleConnections: lambda r, a: ["HangUp", r, a.endpoint],
     it.Throttle: lambda r, a: ["Decline", r, a.id, round(a.come_back * 1000.0, 3)],
     it.Expire: lambda r, a: ["Error", r, a.id],
-    it.Wake: lambda r, a: ["Schedule", r, round(a.after * 1000.0, 3), 0],
+    it.SetTimer: lambda r, a: ["Schedule", r, round(a.after * 1000.0, 3), 0],
     it.AskForList: lambda r, a: ["Subscribe", r, True],
 }
 
--- a/ryestack/brain/invariants.py
+++ b/ryestack/brain/invariants.py
@@ -46,13 +46,13 @@
         """An event, before the decisions hear it."""
         if isinstance(event, it.ListUpdate):
             self._hear_list(event)
-        elif isinstance(event, it.WaitTold | it.Outcome):
+        elif isinstance(event, it.WaitRequested | it.Outcome):
             self._hear_wait(event.endpoint, event.wait, now)
-        elif isinstance(event, it.Leaving):
+        elif isinstance(event, it.ShuttingDown):
             self.ends_at = event.until
 
     def _hear_list(self, update: it.ListUpdate) -> None:
-        ready = {each.id for each in update.endpoints if each.listed is it.Listed.READY}
+        ready = {each.id for each in update.endpoints if each.listed is it.EndpointStatus.READY}
         gone = {each.id for each in update.endpoints} - ready
         if update.whole:
             gone |= self.ready - ready
--- a/ryestack/brain/rounds.py
+++ b/ryestack/brain/rounds.py
@@ -55,7 +55,7 @@
         self.woken = inf if self.woken <= now + 1e-5 else self.woken  # an adapter may round a wait down
         if self.heap and self.heap[0][0] < self.woken:
             self.woken = self.heap[0][0]
-            self.acts.append(it.Wake(max(0.0, self.woken - now)))
+            self.acts.append(it.SetTimer(max(0.0, self.woken - now)))
         return self.acts
 
     def room(self, route):  # calls that it holds before more would only queue; past it it counts as refusing
@@ -149,7 +149,7 @@
         for route in self.idle.values():
             kept = self.KEPT_SHORT if self.now < self.short.get(route.dest.kind.name, 0.0) else self.KEPT
             if not route.calls and route.pacer.part(self.now) * self.set.connection_idle < kept:
-                self.acts.append(it.HangUp(route.id))
+                self.acts.append(it.CloseIdleConnections(route.id))
         self.idle = {}
 
     def plan(self, dest):
@@ -166,11 +166,11 @@
         it.ListUpdate: Outcomes.on_list,
         it.Notification: Outcomes.on_notification,
         it.Outcome: Outcomes.on_outcome,
-        it.WaitTold: Outcomes.on_wait,
+        it.WaitRequested: Outcomes.on_wait,
         it.Withdrawn: lambda self, e: e.id in self.held and self.step(self.held[e.id], "ended"),
-        it.Woken: lambda self, event: None,
-        it.Retuned: on_retuned,
-        it.Overheard: on_overheard,
-        it.Turn: Outcomes.on_turn,
-        it.Leaving: lambda self, event: setattr(self, "leaves", event.until),
+        it.TimerFired: lambda self, event: None,
+        it.SettingsChanged: on_retuned,
+        it.SiblingCall: on_overheard,
+        it.SiblingKeyClaim: Outcomes.on_turn,
+        it.ShuttingDown: lambda self, event: setattr(self, "leaves", event.until),
     }
--- a/ryestack/brain/routes.py
+++ b/ryestack/brain/routes.py
@@ -93,7 +93,7 @@
         self.asking, self.sure = self.ASK, inf
         self.touched = {id(dest): dest for _, dest in sorted(self.waiting.items())}
         listed = {e.id: e for e in update.endpoints}
-        ready = {e.id for e in listed.values() if e.listed is it.Listed.READY}
+        ready = {e.id for e in listed.values() if e.listed is it.EndpointStatus.READY}
         turned = [self.routes.get(e.id) or self.add_route(e) for e in listed.values()]
         turned += [r for r in self.routes.values() if r.id not in listed] if update.whole else []
         for route in turned:
@@ -128,7 +128,7 @@
     def turn(self, route, heard, span=0.0):
         self.touch(route.dest)
         if heard in ("wait", "drain"):  # a connection that comes up late must not carry what it now forbids
-            self.acts.append(it.CallOff(route.id))
+            self.acts.append(it.CancelUnsent(route.id))
         route.state, effect = ROUTE.get((route.state, heard), (route.state, None))
         if effect:
             getattr(self, effect)(route, span)
--- a/ryestack/brain/walk.py
+++ b/ryestack/brain/walk.py
@@ -122,7 +122,7 @@
     def rank(self, ntf):  # benefit to be won by a push now for a slot's second; the older first among equals
         topic, took = ntf.topic, ntf.dest.expected()
         late, part = self.now + took - (ntf.due - topic.ttl) - topic.objective, self.now + took < ntf.due
-        if late > 0.0 and self.set.late is it.Late.HALVES:
+        if late > 0.0 and self.set.late is it.LateBenefit.HALVES:
             part *= max(topic.late_share, 0.5 ** (late / max(topic.objective, 1e-3)))
         elif late > 0.0:
             part *= 1.0 - (1.0 - topic.late_share) * late / max(topic.ttl - topic.objective, 1e-3)
--- a/ryestack/interface/__init__.py
+++ b/ryestack/interface/__init__.py
@@ -4,29 +4,29 @@
 adapter turns its own messages into the events below and the actions into its own messages.
 """
 
-from .terms import Customer, Effect, Kind, Late, Rules, Settings, TopicType
+from .terms import Customer, Effect, Kind, LateBenefit, Rules, Settings, TopicType
 from .words import (
     Action,
     AskForList,
-    CallOff,
     Cancel,
+    CancelUnsent,
+    CloseIdleConnections,
     Endpoint,
+    EndpointStatus,
     Event,
     Expire,
-    HangUp,
-    Leaving,
-    Listed,
     ListUpdate,
     Notification,
     Outcome,
-    Overheard,
     Push,
     Result,
-    Retuned,
+    SetTimer,
+    SettingsChanged,
+    ShuttingDown,
+    SiblingCall,
+    SiblingKeyClaim,
     Throttle,
-    Turn,
-    WaitTold,
-    Wake,
+    TimerFired,
+    WaitRequested,
     Withdrawn,
-    Woken,
 )
--- a/ryestack/interface/terms.py
+++ b/ryestack/interface/terms.py
@@ -15,7 +15,7 @@
     ONCE_ONLY = "once-only"
 
 
-class Late(Enum):
+class LateBenefit(Enum):
     """How benefit falls after the latency objective."""
 
     LINE = "line"
@@ -77,7 +77,7 @@
     customers: tuple[Customer, ...] = ()
     relays: int = 1
     over_share_benefit: float = 1.0
-    late: Late = Late.LINE
+    late: LateBenefit = LateBenefit.LINE
     told_rates: bool = True
     rough_rates: bool = False
     max_pushes: int = 1
--- a/ryestack/interface/words.py
+++ b/ryestack/interface/words.py
@@ -20,7 +20,7 @@
     NOT_SENT = "not sent"
 
 
-class Listed(Enum):
+class EndpointStatus(Enum):
     """What the list says of an endpoint."""
 
     READY = "ready"
@@ -36,7 +36,7 @@
     zone: str
     kind: str
     destination: int
-    listed: Listed = Listed.READY
+    listed: EndpointStatus = EndpointStatus.READY
     rate: float = 1.0
 
 
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitTold:
+class WaitRequested:
     """The head of an answer told to wait so long from now on; its outcome, which tells it too, is later."""
 
     endpoint: str
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Overheard:
+class SiblingCall:
     """A call that another process of this relay began: it counts as ours, and its outcomes come as ours do.
 
     items: id, push and topic type of each notification in it.
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class SiblingKeyClaim:
     """Another process of this relay owes a notification of that key in order, or owes it no more.
 
     rest: until when the key rests, a time of the clock.
@@ -139,19 +139,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     """A time asked for has come."""
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings hold from now on; what is held keeps the terms that it came with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShuttingDown:
     """This relay's process ends at that time of the clock; another takes over what it owes."""
 
     until: float
@@ -176,14 +176,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class CancelUnsent:
     """End the calls to the endpoint of which nothing is written yet: they count as not sent."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class CloseIdleConnections:
     """Close the connections to the endpoint that stand idle."""
 
     endpoint: str
@@ -205,7 +205,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
+class SetTimer:
     """Call again after so long."""
 
     after: float
@@ -217,6 +217,15 @@
 
 
 Event = (
-    ListUpdate | Notification | Outcome | WaitTold | Withdrawn | Woken | Leaving | Retuned | Overheard | Turn
+    ListUpdate
+    | Notification
+    | Outcome
+    | WaitRequested
+    | Withdrawn
+    | TimerFired
+    | ShuttingDown
+    | SettingsChanged
+    | SiblingCall
+    | SiblingKeyClaim
 )
-Action = Push | Cancel | CallOff | HangUp | Throttle | Expire | Wake | AskForList
+Action = Push | Cancel | CancelUnsent | CloseIdleConnections | Throttle | Expire | SetTimer | AskForList
--- a/ryestack/lab/policies/base.py
+++ b/ryestack/lab/policies/base.py
@@ -8,7 +8,7 @@
 
 from ... import interface as it
 from ...brain import MAY_STILL_RUN, NEVER_RAN
-from ...interface import Effect, Listed, Result
+from ...interface import Effect, EndpointStatus, Result
 
 MARGIN = 0.05  # seconds before its time is up in which one is given up
 EARLY = 0.05  # seconds before a window of a collapsible one closes
@@ -68,7 +68,7 @@
                 self.on_outcome(event)
             elif kind is it.ListUpdate:
                 self.on_list(event)
-            elif kind is it.Leaving:
+            elif kind is it.ShuttingDown:
                 self.leaves = event.until
             elif kind is it.Withdrawn and event.id in self.held:
                 self.forget(self.held[event.id])
@@ -86,7 +86,7 @@
         if self.later and self.later[0][0] < self.woken - 1e-9 or self.woken <= now:
             self.woken = self.later[0][0] if self.later else inf
             if self.woken < inf:
-                self.acts.append(it.Wake(max(0.0, self.woken - now)))
+                self.acts.append(it.SetTimer(max(0.0, self.woken - now)))
         return self.acts
 
     def on_list(self, update: it.ListUpdate) -> None:
@@ -94,7 +94,7 @@
             self.dests, self.listed = {}, {}
         for e in update.endpoints:
             row = self.dests.setdefault(e.destination, [])
-            if e.listed is Listed.READY:
+            if e.listed is EndpointStatus.READY:
                 self.listed[e.id] = e
                 if e.id not in row:
                     row.append(e.id)
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -81,7 +81,7 @@
             return
         if struck.fault.planned:
             relay.leaving = self.clock.now
-            relay.tell(it.Leaving(self.clock.now + LEAVING))
+            relay.tell(it.ShuttingDown(self.clock.now + LEAVING))
             self.clock.after(DOOR, self.world.clients.known_dead.add, relay.number)
             self.clock.after(LEAVING, self.kill, relay, relay.life, struck)
         else:
--- a/ryestack/lab/sim/layout.py
+++ b/ryestack/lab/sim/layout.py
@@ -5,13 +5,13 @@
 import numpy as np
 
 from ... import interface as it
-from ...interface import Listed
+from ...interface import EndpointStatus
 from ..scenario import Group, Scenario
 from .faults import pick
 from .limits import Rate, Window
 from .partners import Cold, Route, Unit
 
-LISTED = {"up": Listed.READY, "draining": Listed.DRAINING, "gone": Listed.GONE}
+LISTED = {"up": EndpointStatus.READY, "draining": EndpointStatus.DRAINING, "gone": EndpointStatus.GONE}
 AT_HOME = 0.8  # of a destination's endpoints stand in its own building
 BURST = 1.0  # seconds of a rate that a limit's bucket holds
 
--- a/ryestack/lab/sim/registry.py
+++ b/ryestack/lab/sim/registry.py
@@ -1,7 +1,7 @@
 """The registry of endpoints: replacements, drains, and the changes that each relay is told late."""
 
 from ... import interface as it
-from ...interface import Listed
+from ...interface import EndpointStatus
 from .faults import pick
 from .partners import Route
 from .relays import Relay
@@ -57,8 +57,8 @@
 
     def tell(self, relay: Relay, entry: it.Endpoint) -> None:
         relay.list = {**relay.list, entry.id: entry}
-        if entry.listed is Listed.GONE:
+        if entry.listed is EndpointStatus.GONE:
             del relay.list[entry.id]
         if relay.up:
-            self.world.judge.listed(relay, entry.id, entry.listed is Listed.READY, self.clock.now)
+            self.world.judge.listed(relay, entry.id, entry.listed is EndpointStatus.READY, self.clock.now)
             relay.tell(it.ListUpdate((entry,)))
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -11,7 +11,7 @@
 from ...brain import NEVER_RAN
 from ...interface import Result
 
-WOKEN = it.Woken()
+WOKEN = it.TimerFired()
 MAY_STILL_RUN = {Result.TIMED_OUT, Result.BROKEN, Result.CANCELLED}
 LEAVING, DOOR = 3.2, 0.45  # seconds from the word to leave to the end, and until no more is taken
 
@@ -141,13 +141,13 @@
             kind = type(action)
             if kind is it.Push:
                 pushes.append(action)
-            elif kind is it.Wake:
+            elif kind is it.SetTimer:
                 wakes.append(action)
             elif kind is it.Cancel:
                 cancels.append(action)
-            elif kind is it.HangUp:
+            elif kind is it.CloseIdleConnections:
                 world.network.close_idle(self, action.endpoint)
-            elif kind not in (it.AskForList, it.CallOff):
+            elif kind not in (it.AskForList, it.CancelUnsent):
                 ends.append(action)
         fleet = world.day.fleet
         cost = fleet.cpu_round + fleet.cpu_event * (len(heard) + len(pushes))
--- a/ryestack/lab/sim/settings.py
+++ b/ryestack/lab/sim/settings.py
@@ -31,7 +31,7 @@
         max_open=fleet.hold or max(10, ceil(HOLDS * part)),
         relays=fleet.relays,
         over_share_benefit=day.traffic.over_share,
-        late=it.Late(day.traffic.late),
+        late=it.LateBenefit(day.traffic.late),
         told_rates=day.directory.told_rates,
         rough_rates=any(g.rough > 0.0 for g in day.group),
         max_pushes=fleet.max_pushes,
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -56,7 +56,7 @@
     def retune(self, settings: it.Settings) -> None:
         """Between rounds; the module hears of it before all that comes after."""
         self.settings = settings
-        self.put([it.Retuned(settings)])
+        self.put([it.SettingsChanged(settings)])
 
     def withdraw(self, name: str) -> None:
         self.put([it.Withdrawn(name)])
@@ -105,17 +105,17 @@
             self.take(message)
         for action in asked[it.Cancel]:
             self.dispatcher.cancel(action.id, action.push)
-        for action in asked[it.CallOff]:
+        for action in asked[it.CancelUnsent]:
             self.dispatcher.cancel_unsent(action.endpoint)
         self.push(asked[it.Push])
-        for action in asked[it.HangUp]:
+        for action in asked[it.CloseIdleConnections]:
             self.dispatcher.close_idle(action.endpoint)
         if any(isinstance(h, it.ListUpdate) for h in heard):
             self.dispatcher.forget()
         for _ in asked[it.AskForList]:
             self.directory.ask()
-        for action in asked[it.Wake]:
-            asyncio.get_running_loop().call_later(action.after, self.put, [it.Woken()])
+        for action in asked[it.SetTimer]:
+            asyncio.get_running_loop().call_later(action.after, self.put, [it.TimerFired()])
 
     def before_outcome(self, o: it.Outcome):
         if not o.made:
@@ -153,7 +153,7 @@
     BEFORE = {
         HandIn: Admission.before_hand_in,
         it.Outcome: before_outcome,
-        it.WaitTold: Siblings.before_wait,
+        it.WaitRequested: Siblings.before_wait,
         RemoteEvent: Siblings.before_remote_event,
         it.Withdrawn: before_withdrawn,
         Paused: before_paused,
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -95,4 +95,4 @@
     async def hand_over_listeners(self) -> None:
         for listener in self.parts.listeners:
             listener.replaced()
-        self.owner.put([it.Leaving(self.stop_at + SHORT)])
+        self.owner.put([it.ShuttingDown(self.stop_at + SHORT)])
--- a/ryestack/lifecycle/upgrade/siblings.py
+++ b/ryestack/lifecycle/upgrade/siblings.py
@@ -12,7 +12,7 @@
 class RemoteEvent:
     """What another process of this relay has met: how a push of its ended, a wait it was told."""
 
-    event: it.Outcome | it.WaitTold
+    event: it.Outcome | it.WaitRequested
 
 
 class Siblings:
@@ -27,10 +27,10 @@
 
     def before_remote_event(self, event: RemoteEvent):
         met = event.event
-        known = isinstance(met, it.WaitTold) or self.remote_pushes.pop((met.id, met.push), None)
+        known = isinstance(met, it.WaitRequested) or self.remote_pushes.pop((met.id, met.push), None)
         return met if known else None
 
-    def before_wait(self, event: it.WaitTold):
+    def before_wait(self, event: it.WaitRequested):
         self.tell_siblings("wait", event.endpoint, event.wait)
         return event
 
@@ -59,7 +59,7 @@
         unknown = next(iter(topics.values()))
         self.remote_pushes.update({(name, push): (channel, endpoint) for name, push, _ in items})
         told = tuple((name, push, topics.get(topic, unknown)) for name, push, topic in items)
-        self.put([it.Overheard(endpoint, told)])
+        self.put([it.SiblingCall(endpoint, told)])
 
     def hear_ended(self, channel, name, push, endpoint, result, *facts) -> None:
         told = dict(zip(OUTCOME_FIELDS, facts, strict=True))
@@ -70,10 +70,10 @@
         if over:
             del self.turns[key, name]
         if name not in self.ledger.owed:
-            self.put([it.Turn(key, name, over, rest_until)])
+            self.put([it.SiblingKeyClaim(key, name, over, rest_until)])
 
     def hear_wait(self, channel, endpoint, seconds, *_) -> None:
-        self.put([RemoteEvent(it.WaitTold(str(endpoint), float(seconds)))])
+        self.put([RemoteEvent(it.WaitRequested(str(endpoint), float(seconds)))])
 
     def hear_holds(self, channel, count, *_) -> None:
         self.held_by[channel] = int(count)
@@ -112,4 +112,4 @@
             if channel not in self.siblings:
                 del self.turns[key, name]
                 if name not in self.ledger.owed:
-                    self.put([it.Turn(key, name, True)])
+                    self.put([it.SiblingKeyClaim(key, name, True)])
--- a/ryestack/settings.py
+++ b/ryestack/settings.py
@@ -33,7 +33,7 @@
         max_open=_need(allowed, "maxOpen", int, "allowed"),
         relays=_number(options, "balancers", "options", 1) or 1,
         over_share_benefit=_number(options, "overShareWorth", "options", 1.0),
-        late=it.Late.HALVES if specifics.get("late") == "halves" else it.Late.LINE,
+        late=it.LateBenefit.HALVES if specifics.get("late") == "halves" else it.LateBenefit.LINE,
         told_rates=options.get("weights") in ("nominal", "rough"),
         rough_rates=options.get("weights") == "rough",
         max_pushes=_above_0(_need(allowed, "maxAttempts", int, "allowed"), "allowed.maxAttempts"),
--- a/ryestack/wire/calls.py
+++ b/ryestack/wire/calls.py
@@ -193,7 +193,7 @@
         """A head is whole: a wait in it holds from now on, whatever becomes of the rest."""
         progress.wait = milliseconds(headers.get("X-Retry-In-Ms"))
         if progress.wait > 0.0:
-            self.tell([it.WaitTold(progress.endpoint, progress.wait)])
+            self.tell([it.WaitRequested(progress.endpoint, progress.wait)])
 
     def wrote(self, messages: int) -> None:
         self.written += messages
--- a/ryestack/wire/members.py
+++ b/ryestack/wire/members.py
@@ -14,7 +14,11 @@
 from ..observe.log import event
 from .platform import Platform
 
-LISTED = {"up": it.Listed.READY, "draining": it.Listed.DRAINING, "removed": it.Listed.GONE}
+LISTED = {
+    "up": it.EndpointStatus.READY,
+    "draining": it.EndpointStatus.DRAINING,
+    "removed": it.EndpointStatus.GONE,
+}
 BARE = 60.0  # a destination without endpoints is one we know for so long
 PAUSE = 0.1  # between calls at least, if answers or failures come at once; a watch goes on within 200 ms
 FIRST = 0.3  # seconds for the first word at a start: an agent beside us answers at once, or is down
@@ -52,7 +56,9 @@
 
 def read_row(row: dict) -> it.Endpoint:
     name, zone, kind = str(row["name"]), str(row["zone"]), str(row["type"])
-    listed = LISTED.get(row["status"], it.Listed.DRAINING)  # a word we do not know: nothing new goes there
+    listed = LISTED.get(
+        row["status"], it.EndpointStatus.DRAINING
+    )  # a word we do not know: nothing new goes there
     if not row["address"]:
         raise ValueError("no address")
     weight = float(row.get("weight", 1.0))
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -36,7 +36,7 @@
         """Settings may lower the hold under what is out: none is parked then that could make room."""
         b = brain(rate=1000.0)
         b.round(1.0, [take(f"n{i}") for i in range(5)])
-        b.round(1.1, [it.Retuned(settings(max_open=2))])
+        b.round(1.1, [it.SettingsChanged(settings(max_open=2))])
         self.assertEqual(kinds(b.round(1.2, [take("late", due=1.21)]), it.Throttle), ["late"])
 
     def test_a_batch_takes_one_slot(self):
@@ -64,8 +64,8 @@
         for kind, free in (("shared", []), ("apart", ["b"])):
             b = brain(kind)
             b.round(1.0, [take("n")])
-            told = b.round(1.1, [it.WaitTold("a", 3.0), take("m"), it.WaitTold("none", 1.0)])
-            self.assertIn(it.CallOff("a"), told)
+            told = b.round(1.1, [it.WaitRequested("a", 3.0), take("m"), it.WaitRequested("none", 1.0)])
+            self.assertIn(it.CancelUnsent("a"), told)
             self.assertEqual([at for _, at in pushes(told)], free)
             self.assertEqual([at for _, at in pushes(b.round(4.0, [take("o")]))], free)
 
@@ -76,10 +76,10 @@
             b = brain(kind)
             self.assertEqual(pushes(b.round(1.0, [take("n"), take("m")])), [("n", "a"), ("m", "a")])
             told = b.round(1.1, [end("n", "a", Result.FULL, wait=1.0)])
-            self.assertEqual([a.endpoint for a in told if isinstance(a, it.CallOff)], routes)
-        drained = it.Endpoint("b", "z", "apart", 7, it.Listed.DRAINING, 50.0)
+            self.assertEqual([a.endpoint for a in told if isinstance(a, it.CancelUnsent)], routes)
+        drained = it.Endpoint("b", "z", "apart", 7, it.EndpointStatus.DRAINING, 50.0)
         told = b.round(1.2, [it.ListUpdate((drained,))])
-        self.assertEqual([a.endpoint for a in told if isinstance(a, it.CallOff)], ["b"])
+        self.assertEqual([a.endpoint for a in told if isinstance(a, it.CancelUnsent)], ["b"])
 
     def test_once_only_ends_at_once_after_it_may_have_run(self):
         b = brain()
@@ -90,7 +90,7 @@
         """On the bench: broken at 21.2, its window over at 25.4, its end told at 30.5, of 30.9."""
         b = brain(max_come_back=0.0, routes=("a",))
         b.round(1.0, [take("n", "merge"), take("m")])
-        b.round(1.5, [it.ListUpdate((it.Endpoint("a", "z", "shared", 7, it.Listed.DRAINING, 50.0),))])
+        b.round(1.5, [it.ListUpdate((it.Endpoint("a", "z", "shared", 7, it.EndpointStatus.DRAINING, 50.0),))])
         self.assertEqual(kinds(b.round(2.0, [end("n", "a", Result.BROKEN)]), it.Throttle), [])
         self.assertEqual(kinds(b.round(6.9, []), it.Throttle), [])
         self.assertEqual(kinds(b.round(7.0, []), it.Throttle), ["n"])
@@ -121,11 +121,11 @@
         b = brain(routes=())
         self.assertEqual(pushes(b.round(1.0, [take("n", pushes=1)])), [])
         listed = it.ListUpdate((it.Endpoint("a", "z", "shared", 7, rate=50.0),))
-        self.assertEqual(pushes(b.round(1.1, [listed]) + b.round(1.2, [it.Woken()])), [("n", "a")])
+        self.assertEqual(pushes(b.round(1.1, [listed]) + b.round(1.2, [it.TimerFired()])), [("n", "a")])
 
     def test_nothing_new_goes_out_that_a_restart_would_cut_off(self):
         b = brain()
-        b.round(1.0, [it.Leaving(1.4)])
+        b.round(1.0, [it.ShuttingDown(1.4)])
         self.assertEqual(pushes(b.round(1.05, [take("n")])), [])
 
     def test_collapsible_not_pushed_after_its_window(self):
@@ -147,14 +147,14 @@
 
     def test_drained_route_gets_nothing(self):
         b = brain(routes=("a",))
-        gone = it.Endpoint("a", "z", "shared", 7, it.Listed.DRAINING)
+        gone = it.Endpoint("a", "z", "shared", 7, it.EndpointStatus.DRAINING)
         self.assertEqual(pushes(b.round(1.0, [it.ListUpdate((gone,)), take("n")])), [])
 
     def test_a_wait_binds_all_shared_routes(self):
         b = brain()
         b.round(1.0, [take("n")])
         self.assertEqual(pushes(b.round(1.1, [end("n", "a", Result.FULL, wait=1.0)])), [])
-        self.assertEqual(pushes(b.round(2.0, [it.Woken()])), [])
+        self.assertEqual(pushes(b.round(2.0, [it.TimerFired()])), [])
 
     def test_a_wait_binds_an_endpoint_that_is_listed_within_it(self):
         b = brain(routes=("a",))
@@ -168,7 +168,7 @@
         b.round(1.0, [take("n"), take("m")])
         b.round(1.1, [end("n", "a", Result.FULL, wait=1.0)])
         b.round(1.2, [end("m", "a", Result.FULL, wait=1.0)])
-        self.assertEqual(pushes(b.round(2.15, [it.Woken()])), [])
+        self.assertEqual(pushes(b.round(2.15, [it.TimerFired()])), [])
 
     def test_a_wait_binds_one_route_apart(self):
         b = brain(kind="apart")
@@ -178,14 +178,14 @@
     def test_a_wait_outlives_a_drained_route_that_is_listed_again(self):
         b = brain(kind="apart", routes=("a",))
         b.routes["a"].pacer.wait_until = 9.0
-        for name, listed in (("a", it.Listed.DRAINING), ("b", it.Listed.READY), ("a", it.Listed.READY)):
+        for name, listed in (("a", it.EndpointStatus.DRAINING), ("b", it.EndpointStatus.READY), ("a", it.EndpointStatus.READY)):
             b.round(1.0, [it.ListUpdate((it.Endpoint(name, "z", "apart", 7, listed, 50.0),))])
         self.assertEqual(pushes(b.round(2.0, [take("n")])), [("n", "b")])
 
     def test_a_told_rate_of_none_still_lets_calls_go(self):
         b = brain(routes=("a",), rate=0.0)
         b.round(1.0, [take("n", due=21.0)])
-        self.assertEqual(pushes(b.round(2.0, [it.Woken()])), [("n", "a")])
+        self.assertEqual(pushes(b.round(2.0, [it.TimerFired()])), [("n", "a")])
         b.routes["a"].pacer.bad(2.0, 9.0, False)
         self.assertLess(b.routes["a"].pacer.ready_at(9.0), 60.0)  # and after an outage it is tried again
 
@@ -194,13 +194,13 @@
         self.assertEqual(pushes(b.round(1.0, [take("n", "turns", key="k"), take("m", "turns", key="k")])),
                          [("n", "a")])
         b.round(1.1, [end("n", "a", Result.TIMED_OUT), it.Withdrawn("n")])
-        self.assertEqual(pushes(b.round(1.5, [it.Woken()])), [])
-        self.assertEqual(pushes(b.round(2.2, [it.Woken()])), [("m", "b")])
+        self.assertEqual(pushes(b.round(1.5, [it.TimerFired()])), [])
+        self.assertEqual(pushes(b.round(2.2, [it.TimerFired()])), [("m", "b")])
 
     def test_final_answer_before_the_time_is_up(self):
         b = brain(routes=())
         b.round(1.0, [take("n", due=3.0)])
-        self.assertEqual(kinds(b.round(2.99, [it.Woken()]), it.Throttle), ["n"])
+        self.assertEqual(kinds(b.round(2.99, [it.TimerFired()]), it.Throttle), ["n"])
 
     def test_cold_budget_after_an_outage(self):
         b = brain(rate=3.0, routes=("a",))
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -111,7 +111,7 @@
         await self.heard(sock)
         sock.send(b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 700\r\nContent-Length: 9\r\n\r\nx")
         first = await asyncio.wait_for(self.told.get(), 3.0)
-        self.assertEqual(first, it.WaitTold("a", 0.7))
+        self.assertEqual(first, it.WaitRequested("a", 0.7))
         self.assertEqual(self.calls.out(), 1)
         o = await self.next()
         self.assertEqual((o.result, o.wait), (Result.BROKEN, 0.7))
@@ -126,7 +126,7 @@
             self.assertIn((await self.next()).result, (Result.CANCELLED, Result.TIMED_OUT))
             self.assertEqual(await asyncio.wait_for(self.loop.sock_recv(sock, 9), 1.0), b"")  # given up
             sock.send(b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n")
-            self.assertEqual(await self.next(it.WaitTold), it.WaitTold("a", 0.7))
+            self.assertEqual(await self.next(it.WaitRequested), it.WaitRequested("a", 0.7))
             await self.gone()
 
     async def test_what_else_comes_of_a_call_given_up_tells_nothing_and_holds_nothing(self):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -51,7 +51,7 @@
         self.assertEqual(checks.out, {})
 
     def test_waits_bind_from_the_head_or_the_outcome_on(self):
-        for told in (it.WaitTold("a", 2.0), it.Outcome("m", 0, "a", Result.FULL, wait=2.0)):
+        for told in (it.WaitRequested("a", 2.0), it.Outcome("m", 0, "a", Result.FULL, wait=2.0)):
             checks = Invariants()
             checks.hear(told, 9.0)
             self.assertIs(self.check(checks, now=10.9), Rule.WITHIN_WAIT)
@@ -60,8 +60,8 @@
     def test_drained_or_left_out_of_a_whole_list_it_gets_nothing_until_it_is_ready_again(self):
         ready, other = it.Endpoint("a", "z", "k", 7), it.Endpoint("b", "z", "k", 7)
         for told in (
-            it.ListUpdate((it.Endpoint("a", "z", "k", 7, it.Listed.DRAINING),)),
-            it.ListUpdate((it.Endpoint("a", "z", "k", 7, it.Listed.GONE),)),
+            it.ListUpdate((it.Endpoint("a", "z", "k", 7, it.EndpointStatus.DRAINING),)),
+            it.ListUpdate((it.Endpoint("a", "z", "k", 7, it.EndpointStatus.GONE),)),
             it.ListUpdate((other,), whole=True),
         ):
             checks = Invariants()
@@ -75,13 +75,13 @@
     def test_what_it_remembers_of_endpoints_that_are_gone_is_bounded(self):
         checks = Invariants()
         for n in range(MOST_DRAINED + 50):
-            gone = it.Endpoint(f"e{n}", "z", "k", 7, it.Listed.GONE)
+            gone = it.Endpoint(f"e{n}", "z", "k", 7, it.EndpointStatus.GONE)
             checks.hear(it.ListUpdate((gone,)), 1.0)
         self.assertEqual(len(checks.drained), MOST_DRAINED)
 
     def test_nothing_is_started_once_the_process_ends(self):
         checks = Invariants()
-        checks.hear(it.Leaving(9.5), 9.0)
+        checks.hear(it.ShuttingDown(9.5), 9.0)
         self.assertIs(self.check(checks), Rule.WHILE_ENDING)
 
 
@@ -119,13 +119,13 @@
         o.ledger.push = lambda *_: False
         for _ in range(60):
             self.now += 0.1
-            o.round([*o.take_queue(), it.Woken()])
+            o.round([*o.take_queue(), it.TimerFired()])
         self.assertGreater(o.unsent[Unsent.NOT_WRITTEN], 5)
         self.assertEqual((self.sent, self.told), ([("n", 0)], []))
         o.ledger.push = real
         for _ in range(20):
             self.now += 0.1
-            o.round([*o.take_queue(), it.Woken()])
+            o.round([*o.take_queue(), it.TimerFired()])
         self.assertEqual(self.sent, [("n", 0), ("n", 1)])
         self.assertEqual(o.retries, {"full": 1})
 
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -22,7 +22,7 @@
     module.round(0.0, [take("n", due=4.0), take("m", due=4.0, late=0.3)])
     ends = {}
     for step in range(1, 500):
-        for action in module.round(step / 100.0, [it.Woken()]):
+        for action in module.round(step / 100.0, [it.TimerFired()]):
             if isinstance(action, it.Throttle | it.Expire):
                 ends[action.id] = step / 100.0
     assert abs(ends["n"] - ends["m"] - 0.3) < 0.02
--- a/tests/test_list_change.py
+++ b/tests/test_list_change.py
@@ -6,7 +6,7 @@
 
 from ryestack import interface as it
 from ryestack.brain import Brain
-from ryestack.interface import Listed, Result
+from ryestack.interface import EndpointStatus, Result
 from ryestack.lifecycle import learned_state
 from ryestack.lifecycle.watched import Watched
 
@@ -33,7 +33,7 @@
         return super().__iter__()
 
 
-def endpoint(destination, part="a", listed=Listed.READY):
+def endpoint(destination, part="a", listed=EndpointStatus.READY):
     return it.Endpoint(f"{destination}-{part}", "z", "shared", destination, listed, 50.0)
 
 
@@ -56,10 +56,10 @@
 def test_a_change_looks_through_neither_routes_nor_destinations():
     made = module()
     walks = count_walks(made)
-    made.round(1.0, [it.ListUpdate((endpoint(7, listed=Listed.DRAINING),))])
+    made.round(1.0, [it.ListUpdate((endpoint(7, listed=EndpointStatus.DRAINING),))])
     made.round(2.0, [it.ListUpdate((endpoint(7),))])
     for at, part in ((3.0, "a"), (4.0, "b")):
-        made.round(at, [it.ListUpdate((endpoint(8, part, Listed.GONE),))])
+        made.round(at, [it.ListUpdate((endpoint(8, part, EndpointStatus.GONE),))])
     assert (8 in made.dests, 7 in made.dests, "8-a" in made.routes, walks()) == (False, True, False, 0)
 
 
@@ -82,7 +82,7 @@
 
 EVENTS = st.lists(
     st.one_of(
-        st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from("ab"), st.sampled_from(list(Listed))),
+        st.tuples(st.just("list"), st.integers(0, 3), st.sampled_from("ab"), st.sampled_from(list(EndpointStatus))),
         st.tuples(st.just("whole"), st.sets(st.integers(0, 3))),
         st.tuples(st.just("ask"), st.integers(0, 4)),
         st.tuples(st.just("end"), st.sampled_from(list(Result))),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from ryestack import interface as it
 from ryestack.brain import Brain
-from ryestack.interface import Listed, Result
+from ryestack.interface import EndpointStatus, Result
 from ryestack.membership import following
 from ryestack.wire.members import watch
 from ryestack.wire.platform import Platform
@@ -57,8 +57,8 @@
     """Seconds from a failure until the decisions ask."""
     at, acts = now, module.round(now, [it.ListUpdate(failed=True, sure_at=sure_at)])
     while not any(isinstance(a, it.AskForList) for a in acts):
-        at += next((a.after for a in acts if isinstance(a, it.Wake)), 0.01)
-        acts = module.round(at, [it.Woken()])
+        at += next((a.after for a in acts if isinstance(a, it.SetTimer)), 0.01)
+        acts = module.round(at, [it.TimerFired()])
     return at - now
 
 
@@ -104,7 +104,7 @@
     after = []
     for relay in range(200):
         made, now = Brain(settings(asks_for_list=True), seed + relay), 10.0
-        made.round(5.0, [it.Woken()])  # the asking that each start begins with
+        made.round(5.0, [it.TimerFired()])  # the asking that each start begins with
         for _ in range(fails):
             after_last = asked_after(made, now)
             assert after_last <= following.RESTS["unsure"] + 0.03
@@ -131,7 +131,7 @@
         failed = now
         while not asked:
             now += 0.01
-            asked = [a for a in made.round(now, [it.Woken()]) if isinstance(a, it.AskForList)]
+            asked = [a for a in made.round(now, [it.TimerFired()]) if isinstance(a, it.AskForList)]
         assert Brain.NEAR / 2 - 1e-9 <= now - failed <= Brain.NEAR + 0.02
     # The agent may come back a moment after an asking began that it does not answer any more.
     assert following.GRACE + Brain.NEAR < DRAIN
@@ -146,7 +146,7 @@
     assert pushes(made.round(11.8, [take("n1")])) == [("n1", "a")]
     made.round(11.85, [end("n1", "a", Result.ERROR)])
     for i in range(20):
-        assert not pushes(made.round(12.0 + i / 10, [take(f"m{i}", due=40.0), it.Woken()]))
+        assert not pushes(made.round(12.0 + i / 10, [take(f"m{i}", due=40.0), it.TimerFired()]))
     assert pushes(made.round(14.1, [it.ListUpdate()]))  # nothing had changed: all of it holds again
 
 
@@ -180,7 +180,7 @@
             acts = module.round(loop.time(), [update])
             while update.failed and not any(isinstance(a, it.AskForList) for a in acts):
                 await asyncio.sleep(0.05)
-                acts = module.round(loop.time(), [it.Woken()])
+                acts = module.round(loop.time(), [it.TimerFired()])
             platform.asked.set()
         task.cancel()
         await platform.close()
@@ -188,6 +188,6 @@
         return loop.time() - began, update, heads
 
     took, update, heads = asyncio.run(play())
-    assert update.endpoints[0].listed is Listed.DRAINING
+    assert update.endpoints[0].listed is EndpointStatus.DRAINING
     assert b"hold_ms=0" in heads[0] and b"hold_ms=1500" in heads[1] and b"hold_ms=0" in heads[2]
     assert took < Brain.TOLD
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -47,7 +47,7 @@
         made = self.owner()
         made.recover([self.listed])
         self.now += 0.1  # a new route's first call comes a moment later
-        made.round([it.Woken()])
+        made.round([it.TimerFired()])
         return made
 
 
@@ -56,7 +56,7 @@
         o, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
         o.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
         self.now += 1.1
-        o.round([it.Woken()])  # the asking of a start, which says nothing here
+        o.round([it.TimerFired()])  # the asking of a start, which says nothing here
         asked.clear()
         with patch.object(loop, "call_later"):
             for least, most in ((1.0, 2.0), (1.75, 3.5), (1.75, 3.5), (1.75, 3.5)):
@@ -64,12 +64,12 @@
                 o.round([it.ListUpdate(failed=True)])
                 while len(asked) == told:
                     self.now += 0.01
-                    o.round([it.Woken()])
+                    o.round([it.TimerFired()])
                 self.assertTrue(least <= asked[-1] - failed <= most + 0.02, (least, asked[-1] - failed))
             o.round([it.ListUpdate()])
             o.round([it.ListUpdate(failed=True)])
             self.now += 2.01
-            o.round([it.Woken()])
+            o.round([it.TimerFired()])
         self.assertEqual(len(asked), 5)
 
     async def test_journalled_then_answered_then_pushed(self):
--- a/tests/test_races_left.py
+++ b/tests/test_races_left.py
@@ -157,7 +157,7 @@
         second, told = owner(left, 11.0, lambda _, items: pushed.extend((i.id, i.push) for i in items))
         second.recover([listed])
         second.clock = lambda: 11.1
-        second.round([it.Woken()])
+        second.round([it.TimerFired()])
         second.ledger.journal.close()
         assert (told, pushed) == ([("one", {"state": "failed"})], [("two", 1)])
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -54,7 +54,7 @@
         b.round(1.0, [take("n", "once"), take("m", "again")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE), AGAIN, max_pushes=1, slots=20)
         fails = [end("n", "a", Result.BROKEN), end("m", "a", Result.ERROR)]
-        acts = b.round(1.1, [it.Retuned(changed), *fails])
+        acts = b.round(1.1, [it.SettingsChanged(changed), *fails])
         self.assertEqual((kinds(acts, it.Expire), pushes(acts)), (["n"], [("m", "b")]))
         acts = b.round(1.2, [take("o", "once")]) + b.round(1.3, [end("o", "b", Result.ERROR)])
         self.assertEqual(kinds(acts, it.Throttle), ["o"])  # one push is all that it may have now
@@ -102,7 +102,7 @@
         made.retune(changed)
         made.recover([self.listed])
         self.now += 0.1
-        made.round([*made.take_queue(), it.Woken()])
+        made.round([*made.take_queue(), it.TimerFired()])
         self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
         made.ledger.rewrite()
         made.ledger.journal.close()
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -73,27 +73,27 @@
     def test_and_ends_at_once_where_its_hall_has_no_other_route_left(self):
         b = self.zoned()
         b.round(1.0, [take("n", "merge")])
-        gone = it.ListUpdate((it.Endpoint("a", "x", "apart", 7, it.Listed.GONE),
-                              it.Endpoint("c", "x", "apart", 7, it.Listed.GONE)))
+        gone = it.ListUpdate((it.Endpoint("a", "x", "apart", 7, it.EndpointStatus.GONE),
+                              it.Endpoint("c", "x", "apart", 7, it.EndpointStatus.GONE)))
         self.assertEqual(kinds(b.round(1.5, [gone, end("n", "a", Result.ERROR)]), it.Expire), ["n"])
 
     def test_a_rare_connection_is_hung_up_and_a_used_one_stays(self):
         for rate, closed in ((1.0, ["a"]), (500.0, [])):
             b = brain(routes=("a",), rate=rate, relays=200, connection_idle=5.0)
             b.round(1.0, [take("n")])
-            b.round(2.0, [it.Woken()])
+            b.round(2.0, [it.TimerFired()])
             acts = b.round(2.2, [end("n", "a", Result.DELIVERED)])
-            self.assertEqual([a.endpoint for a in acts if isinstance(a, it.HangUp)], closed)
+            self.assertEqual([a.endpoint for a in acts if isinstance(a, it.CloseIdleConnections)], closed)
 
     def test_a_failed_connection_lets_its_kind_hang_up_sooner(self):
         b = brain(routes=("a", "b"), rate=20.0, relays=100, connection_idle=5.0)
         b.round(1.0, [take("n")])
-        first = pushes(b.round(2.0, [it.Woken()])) or [("n", "a")]
+        first = pushes(b.round(2.0, [it.TimerFired()])) or [("n", "a")]
         other = {"a": "b", "b": "a"}[first[0][1]]
         b.round(2.1, [end("n", first[0][1], Result.NO_CONNECTION)])
-        b.round(3.0, [it.Woken()])
+        b.round(3.0, [it.TimerFired()])
         acts = b.round(3.2, [end("n", other, Result.DELIVERED, 1)])
-        self.assertEqual([a.endpoint for a in acts if isinstance(a, it.HangUp)], [other])
+        self.assertEqual([a.endpoint for a in acts if isinstance(a, it.CloseIdleConnections)], [other])
 
     def test_a_busy_relays_part_follows_what_is_delivered_of_its_own(self):
         b = brain(routes=("a",), rate=100.0, relays=200)
@@ -145,20 +145,20 @@
         now, acts = 1.1, b.round(1.1, [end("n", "a", Result.FULL, limit=20.0, left=0.0)])
         while not pushes(acts) and now < 9.0:
             now += 0.1
-            acts = b.round(now, [it.Woken()])
+            acts = b.round(now, [it.TimerFired()])
         self.assertLess(now, 5.0)
         quiet = brain(kind="apart", rate=2.0, relays=4)  # woken by what it asked for alone
         quiet.dests[7].credit, quiet.dests[7].credit_at = 0.0, 1.0
         now, events, woken, sent = 1.0, [take("n")], [], []
         while now < 19.0:
             acts = quiet.round(now, events)
-            woken = [w for w in woken if w > now] + [now + a.after for a in acts if isinstance(a, it.Wake)]
+            woken = [w for w in woken if w > now] + [now + a.after for a in acts if isinstance(a, it.SetTimer)]
             sent += pushes(acts)
             if pushes(acts):
                 [(name, route)], now = pushes(acts), now + 0.01
                 events = [end(name, route, Result.FULL, len(sent) - 1, limit=2.0, left=0.0)]
             else:
-                now, events = min(woken, default=99.0) + 1e-4, [it.Woken()]
+                now, events = min(woken, default=99.0) + 1e-4, [it.TimerFired()]
         self.assertGreaterEqual(len(sent), 2)
 
     def test_with_one_slot_a_call_is_not_overdue_at_once(self):
@@ -187,7 +187,7 @@
 
     def test_a_limit_too_small_to_divide_by_is_no_fault(self):
         b = brain(routes=("a",), relays=200)
-        sent = pushes(b.round(1.0, [take("n")])) + pushes(b.round(2.0, [it.Woken()]))
+        sent = pushes(b.round(1.0, [take("n")])) + pushes(b.round(2.0, [it.TimerFired()]))
         self.assertEqual(sent, [("n", "a")])
         b.round(2.1, [end("n", "a", Result.FULL, limit=5e-324, left=0.0)])
         b.round(9.0, [take("m")])
@@ -206,7 +206,7 @@
     def test_for_want_of_a_share_a_late_call_of_that_destination_gives_way(self):
         b = brain(routes=("a",), slots=2, may_cancel=True)
         b.round(1.0, [take("n")])
-        b.round(30.0, [it.Woken()])
+        b.round(30.0, [it.TimerFired()])
         acts = b.round(30.1, [take("m", due=50.0)])
         self.assertEqual([a.id for a in acts if isinstance(a, it.Cancel)], ["n"])
 
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -38,7 +38,7 @@
         self.assertEqual(b.avoided(["a", "b", "c", "unknown"]), [])
         b.round(1.0, [take(f"n{i}") for i in range(3)])
         b.round(1.1, [end(f"n{i}", "a", Result.ERROR) for i in range(3)])
-        drained = it.Endpoint("b", "z", "shared", 7, it.Listed.DRAINING, 50.0)
+        drained = it.Endpoint("b", "z", "shared", 7, it.EndpointStatus.DRAINING, 50.0)
         b.round(1.2, [it.ListUpdate((drained,))])
         self.assertEqual(b.avoided(["a", "b", "c"]), ["a", "b"])
         self.assertEqual(b.avoided(["c"]), [])
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -14,7 +14,7 @@
     def test_overdue_pushes_open_the_circuit_before_any_outcome(self):
         b = brain(routes=("a",))
         b.round(1.0, [take(f"n{i}") for i in range(3)])
-        b.round(4.0, [it.Woken()])
+        b.round(4.0, [it.TimerFired()])
         self.assertEqual(b.routes["a"].state, "open")
 
     def test_an_overdue_push_that_a_younger_one_passed_is_no_evidence(self):
@@ -22,13 +22,13 @@
         b.round(1.0, [take("n")])
         b.round(1.5, [take("m")])
         b.round(1.6, [end("m", "a", Result.DELIVERED, ended=True)])
-        b.round(4.0, [it.Woken()])
+        b.round(4.0, [it.TimerFired()])
         self.assertEqual(b.routes["a"].tally.row, 0)
 
     def test_a_late_call_is_called_off_only_when_a_slot_is_wanted(self):
         b = brain(routes=("a", "b"), slots=4, rate=500.0, may_cancel=True)
         b.round(1.0, [take("n"), take("m", "once")])
-        self.assertEqual(kinds(b.round(4.0, [it.Woken()]), it.Cancel), [])
+        self.assertEqual(kinds(b.round(4.0, [it.TimerFired()]), it.Cancel), [])
         b.slots = 0
         self.assertEqual(kinds(b.round(4.1, [take("x")]), it.Cancel), ["n"])
 
@@ -140,7 +140,7 @@
                 b.times.add(pace)
                 b.routes["a"].dest.took(pace)
             b.round(1.0, [take("n")])
-            b.round(1.8, [it.Woken()])
+            b.round(1.8, [it.TimerFired()])
             self.assertEqual(bool(b.late), late, pace)
 
     def test_a_stale_connection_tells_nothing_of_health(self):
@@ -169,7 +169,7 @@
         b.round(1.0, [take("n", "turns", key="k")])
         b.round(1.1, [end("n", "a", Result.TIMED_OUT), it.Withdrawn("n")])
         self.assertEqual(list(b.keys), ["k"])
-        b.round(9.0, [it.Woken()])
+        b.round(9.0, [it.TimerFired()])
         self.assertEqual(b.keys, {})
 
     def test_a_customers_part_may_be_uneven_by_chance(self):
