--- a/ryestack/lab/runner.py
+++ b/ryestack/lab/runner.py
@@ -15,6 +15,7 @@
 import msgspec
 import numpy as np
 
+from .former_names import CONSTANTS, former_interface
 from .policies import POLICIES
 from .scenario import BadScenario, Scenario, table_of
 from .sim.world import World
@@ -52,26 +53,34 @@
 
 def _with(kind, changes: str):
     """The same policy with some of its numbers changed."""
-    told = {}
+    constants = {}
     for change in changes.split(","):
         key, _, value = change.partition("=")
+        key = key if hasattr(kind, key) else CONSTANTS.get(key, key)
         try:
             if not isinstance(getattr(kind, key), (int, float)):
                 raise ValueError
-            told[key] = type(getattr(kind, key))(float(value))
+            constants[key] = type(getattr(kind, key))(float(value))
         except (AttributeError, ValueError):
             raise BadScenario(
                 f"policy {kind.__name__}: {change}: must be a number of it, as KEY=VALUE"
             ) from None
-    return type(kind.__name__, (kind,), told)
+    return type(kind.__name__, (kind,), constants)
 
 
 def brain_at(revision: str):
-    """The decision module as it was at a git revision, with the types of now; raises BadScenario."""
-    name = "ryestack.brain_" + hashlib.sha256(revision.encode()).hexdigest()[:12]
+    """The decision module as it was at a git revision, with today's types under their former names.
+
+    Raises BadScenario.
+    """
+    parent = "ryestack.brain_" + hashlib.sha256(revision.encode()).hexdigest()[:12]
+    name = f"{parent}.brain"
     if name not in sys.modules:
+        _load(parent, "", package=parent)
+        sys.modules[f"{parent}.interface"] = former_interface(f"{parent}.interface")
+        sys.modules[parent].interface = sys.modules[f"{parent}.interface"]
         try:
-            _load(name, _text_at(revision, "ryestack/brain.py"))
+            _load(name, _text_at(revision, "ryestack/brain.py"), package=parent)
         except BadScenario:  # it has been a package of several files since
             listed = _text_at(revision, "ryestack/brain/").split("\n\n", 1)[1].split()
             texts = {Path(file).stem: _text_at(revision, f"ryestack/brain/{file}") for file in listed}
@@ -87,7 +96,7 @@
     return got.stdout
 
 
-def _load(name: str, text: str, package: str = "ryestack") -> None:
+def _load(name: str, text: str, package: str) -> None:
     module = types.ModuleType(name)
     module.__spec__ = importlib.util.spec_from_loader(name, loader=None, is_package=package == name)
     module.__package__ = package
