--- a/ryestack/lab/policies/base.py
+++ b/ryestack/lab/policies/base.py
@@ -8,7 +8,7 @@
 
 from ... import interface as it
 from ...brain import MAY_STILL_RUN, NEVER_RAN
-from ...interface import Effect, Listed, Result
+from ...interface import Effect, EndpointStatus, Result
 
 MARGIN = 0.05  # seconds before its time is up in which one is given up
 EARLY = 0.05  # seconds before a window of a collapsible one closes
@@ -21,7 +21,13 @@
     def __init__(self, n: it.Notification, topic: it.TopicType):
         self.n, self.id, self.topic = n, n.id, topic
         self.key = n.key if topic.keep_order else ""
-        self.pushes, self.maybe_at, self.out, self.state, self.at = n.pushes, n.maybe_at, 0, "parked", 0.0
+        self.pushes, self.maybe_at, self.out, self.state, self.at = (
+            n.pushes,
+            n.may_have_run_at,
+            0,
+            "parked",
+            0.0,
+        )
 
 
 class Policy:
@@ -68,7 +74,7 @@
                 self.on_outcome(event)
             elif kind is it.ListUpdate:
                 self.on_list(event)
-            elif kind is it.Leaving:
+            elif kind is it.ShuttingDown:
                 self.leaves = event.until
             elif kind is it.Withdrawn and event.id in self.held:
                 self.forget(self.held[event.id])
@@ -86,7 +92,7 @@
         if self.later and self.later[0][0] < self.woken - 1e-9 or self.woken <= now:
             self.woken = self.later[0][0] if self.later else inf
             if self.woken < inf:
-                self.acts.append(it.Wake(max(0.0, self.woken - now)))
+                self.acts.append(it.SetTimer(max(0.0, self.woken - now)))
         return self.acts
 
     def on_list(self, update: it.ListUpdate) -> None:
@@ -94,7 +100,7 @@
             self.dests, self.listed = {}, {}
         for e in update.endpoints:
             row = self.dests.setdefault(e.destination, [])
-            if e.listed is Listed.READY:
+            if e.status is EndpointStatus.READY:
                 self.listed[e.id] = e
                 if e.id not in row:
                     row.append(e.id)
@@ -146,7 +152,7 @@
     def unit(self, route: str):
         e = self.listed[route]
         kind = self.kinds.get(e.kind)
-        return route if kind and kind.apart else e.destination
+        return route if kind and kind.per_route else e.destination
 
     def alarm(self, when: float, held: Held) -> None:
         self.number += 1
