--- a/benchmarks/capacity_peers.py
+++ b/benchmarks/capacity_peers.py
@@ -43,7 +43,7 @@
         piece = Append(("r", 1), 3, 0.0, number, [record_of(number)])
         contents.apply(decode(encode(Envelope("c", "r", 1, "g", number, piece))).message.records)
     memory = resident() - before
-    every = Append(("r", 1), 3, 0.0, messages, contents.whole(), whole=True)
+    every = Append(("r", 1), 3, 0.0, messages, contents.snapshot(), whole=True)
     envelope = Envelope("c", "r", 1, "g", 1, every)
     text = encode(envelope)
     seconds = median_seconds(lambda: (encode(envelope), decode(text)), REPEATS)
--- a/benchmarks/peers_at_size.py
+++ b/benchmarks/peers_at_size.py
@@ -22,7 +22,7 @@
 
 from ryestack.peers import messages  # noqa: E402
 from ryestack.peers.messages import Record  # noqa: E402
-from ryestack.peers.node import Node, Refused, Terms  # noqa: E402
+from ryestack.peers.node import ClusterConfig, Node, Refused  # noqa: E402
 
 LEASE, TICK, KILLED, UNTIL, LASTS = 3.0, 0.1, 8.0, 24.0, 2.0
 BODY = b"x" * 200
@@ -35,7 +35,7 @@
         zones = {name: "abc"[i % 3] for i, name in enumerate(self.names)}
         self.zones, self.heap, self.seq = zones, [], 0
         self.nodes = {
-            n: Node(Terms("c", n, zones, 2, LEASE), 1, False, random.Random(f"{seed}{n}"), -2 * LEASE)
+            n: Node(ClusterConfig("c", n, zones, 2, LEASE), 1, False, random.Random(f"{seed}{n}"), -2 * LEASE)
             for n in self.names
         }
         self.dead, self.messages, self.bytes, self.taken = set(), 0, 0, 0
@@ -58,7 +58,7 @@
             self.now, _, what, who = heapq.heappop(self.heap)
             getattr(self, what)(who)
         shards = [s for n, node in self.nodes.items() if n not in self.dead for s in node.shards.values()]
-        kept = {i for s in shards for i in (*s.contents.items, *s.contents.gone)}
+        kept = {i for s in shards for i in (*s.contents.items, *s.contents.finished)}
         groups = {n: set(self.nodes[n].own.group) for n in self.dead}
         self.lost = sum(i not in kept for n in self.dead for i in self.owed[n] if groups[n] - self.dead)
         self.gone = sum(len(self.owed[n]) for n in self.dead if groups[n] <= self.dead)
@@ -100,9 +100,9 @@
         envelope, node = messages.decode(body), self.nodes[to]
         try:
             if asked:
-                self.send(envelope.sender, node.hear(envelope, self.now), False, to)
+                self.send(envelope.sender, node.handle_request(envelope, self.now), False, to)
             else:
-                node.answered(envelope, self.now)
+                node.handle_reply(envelope, self.now)
         except Refused:
             pass
         self.drain(to)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -20,7 +20,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from ryestack.placement.model import Node, Placing, Shard, State  # noqa: E402
+from ryestack.placement.model import Node, Placement, Shard, State  # noqa: E402
 from ryestack.placement.plan import TOLERANCE, plan  # noqa: E402
 
 
@@ -49,7 +49,7 @@
     """Bytes that any way must move."""
     gaining = [n for n in nodes if n.state is State.UP]
     total = sum(s.size * s.copies for s in shards)
-    mean = total / sum(n.room() for n in gaining)
+    mean = total / sum(n.capacity() for n in gaining)
     count, many = len(gaining), len(shards)
     cost = np.zeros(2 * many * count)  # x: how much of a copy is there; y: how much of it is new
     equal, over, rows_e, rows_o = [], [], [], []
@@ -61,8 +61,8 @@
             over.append((n, x, float(shard.size)))
             over += [(count + s * count + n, x, 1.0), (count + s * count + n, y, -1.0)]
         rows_e.append(float(shard.copies))
-    rows_o = [min(1.0, mean + TOLERANCE) * n.room() for n in gaining]
-    rows_o += [float(n.name in s.on) for s in shards for n in gaining]
+    rows_o = [min(1.0, mean + TOLERANCE) * n.capacity() for n in gaining]
+    rows_o += [float(n.name in s.holders) for s in shards for n in gaining]
 
     def matrix(cells, height):
         rows, columns, values = zip(*cells, strict=True)
@@ -87,23 +87,23 @@
 
         def weight(node, shard=shard):
             mark = hashlib.blake2b(f"{shard.name}{node.name}".encode(), digest_size=8).digest()
-            return -node.room() / np.log((int.from_bytes(mark, "big") + 1) / 2**64)
+            return -node.capacity() / np.log((int.from_bytes(mark, "big") + 1) / 2**64)
 
         wanted = sorted(gaining, key=weight, reverse=True)[: shard.copies]
         for node in wanted:
-            moved += shard.size * (node.name not in shard.on)
+            moved += shard.size * (node.name not in shard.holders)
             used[node.name] = used.get(node.name, 0) + shard.size
-    return moved, sum(used.get(n.name, 0) > n.room() for n in gaining)
+    return moved, sum(used.get(n.name, 0) > n.capacity() for n in gaining)
 
 
 def greedy(nodes: list[Node], shards: list[Shard]):
-    at, moved, over = Placing.of(nodes, shards), 0, 0
+    at, moved, over = Placement.of(nodes, shards), 0, 0
     gaining = [n.name for n in nodes if n.state is State.UP]
     row = sorted(shards, key=lambda s: -s.size)
     for shard in row:
-        for name in sorted(at.on[shard.name]):
+        for name in sorted(at.holders[shard.name]):
             if at.nodes[name].state is State.DRAINING:
-                target = min((n for n in gaining if n not in at.on[shard.name]), key=at.load)
+                target = min((n for n in gaining if n not in at.holders[shard.name]), key=at.load)
                 at.add(shard.name, target)
                 over += at.free(target) < 0
                 at.drop(shard.name, name)
@@ -111,7 +111,7 @@
     for _ in range(4 * len(shards)):
         full, least = max(gaining, key=at.load), min(gaining, key=at.load)
         mean = sum(map(at.load, gaining)) / len(gaining)
-        held = [s for s in row if full in at.on[s.name] and least not in at.on[s.name]]
+        held = [s for s in row if full in at.holders[s.name] and least not in at.holders[s.name]]
         if at.load(full) <= mean + TOLERANCE or not held:
             break
         at.add(held[0].name, least)
@@ -135,7 +135,7 @@
             least = bound(rows, made) if nodes <= 50 else float("nan")
             began = time.perf_counter()
             found = plan(rows, made)
-            took, at, over = time.perf_counter() - began, Placing.of(rows, made), 0
+            took, at, over = time.perf_counter() - began, Placement.of(rows, made), 0
             for step in found.steps:
                 for move in step:
                     at.add(move.shard, move.target)
@@ -148,7 +148,7 @@
             level = max(map(at.load, gaining)) <= mean + TOLERANCE
             others = rendezvous(rows, made), greedy(rows, made)
             told = " | ".join(f"{moved / least:6.2f} {much:3}" for moved, much in others)
-            ours = f"{found.bytes() / least:5.2f} {over} {len(found.lacks)} {took:5.2f}"
+            ours = f"{found.bytes() / least:5.2f} {over} {len(found.shortfalls)} {took:5.2f}"
             end = "level" if level else "not"
             print(
                 f"{nodes:4} {shards:5} {full:.1f} {seed} | {least:9.0f} | {ours} {end} | {told}", flush=True
--- a/ryestack/cli/pages.py
+++ b/ryestack/cli/pages.py
@@ -6,7 +6,7 @@
 import typer
 
 from ..lab import capacity_page
-from ..observe.pages import renewed
+from ..observe.pages import with_current_table
 from ..operator.pages import page
 from .output import FOUND, say
 
@@ -14,7 +14,7 @@
 def stale(docs: Path) -> dict[Path, str]:
     """Pages that are not as the code says, and how they should be."""
     oncall, configuration = docs / "oncall.md", docs / "configuration.md"
-    wanted = {oncall: renewed(oncall.read_text()), configuration: page()}
+    wanted = {oncall: with_current_table(oncall.read_text()), configuration: page()}
     wanted[docs / "CAPACITY.md"] = capacity_page.page((docs / "capacity.toml").read_text())
     return {path: text for path, text in wanted.items() if not path.exists() or path.read_text() != text}
 
--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -33,7 +33,7 @@
         if parts.control:
             values |= parts.control.figures()
         topics = [topic.name for topic in owner.settings.topic_types]
-        return 200, figures.TYPE, figures.text(owner.ended, topics, values, self.labelled())
+        return 200, figures.CONTENT_TYPE, figures.render(owner.ended, topics, values, self.labelled())
 
     def labelled(self) -> dict[str, dict[str, int]]:
         """Counts with a reason each, also of those that have not been seen yet."""
--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 from .. import interface as it
-from ..observe.log import detailed, event
+from ..observe.log import event, is_debug_enabled
 from ..ports import HandIn, Verdict
 from ..store.owed import Owed, rules_of
 
@@ -74,7 +74,7 @@
             self.put([it.Withdrawn(n.id)])
 
     def told_taken(self, o: Owed) -> None:
-        if detailed():
+        if is_debug_enabled():
             event("ntf.taken", id=o.id, destination=o.dest, topic=o.topic, pushes=o.pushes)
 
     def turn_away(self, message: HandIn, why: Refusal, away: float = 0.0) -> None:
@@ -89,5 +89,5 @@
 
     def count_refusal(self, message: HandIn, why: Refusal) -> None:
         self.refused[why] += 1
-        if detailed():
+        if is_debug_enabled():
             event("request.refused", id=message.ntf.id, why=why.value)
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from .. import interface as it
-from ..observe.log import detailed, event
+from ..observe.log import event, is_debug_enabled
 from ..ports import Verdict
 from .admission import Refusal
 
@@ -25,7 +25,7 @@
         away = action.come_back if throttled else 0.0
         how = "throttled" if throttled else "expired"
         self.counts[how] += 1
-        if detailed():
+        if is_debug_enabled():
             event("ntf.ended", id=action.id, how=how, after=round(away, 3))
         message = self.fresh.pop(action.id, None)
         if message:
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -11,7 +11,7 @@
 from .. import interface as it
 from ..brain import NEVER_RAN
 from ..interface import Result
-from ..observe.log import detailed, event
+from ..observe.log import event, is_debug_enabled
 from ..ports import Directory, Dispatcher, HandIn, NoticeSink
 from ..store.ledger import Ledger
 from .admission import Admission
@@ -123,7 +123,7 @@
         self.invariants.ended(o.id, o.push)
         self.tell_ended(o)
         self.counts[o.result.value] += 1
-        if detailed():
+        if is_debug_enabled():
             facts = {name: round(getattr(o, name), 3) for name in ("elapsed", "wait", "limit", "left")}
             event("push.ended", id=o.id, push=o.push, route=o.endpoint, result=o.result.value, **facts)
         if o.result is Result.DELIVERED or o.ended:
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -7,7 +7,7 @@
 from .. import interface as it
 from ..brain.invariants import Invariants, Rule
 from ..interface import Result
-from ..observe.log import detailed, event
+from ..observe.log import event, is_debug_enabled
 from ..ports import Item
 from ..store.owed import Owed, terms_of
 
@@ -77,7 +77,7 @@
         """Its outcome. Where nothing of it was written it is no push, and does not count as one."""
         self.unsent[why] += 1
         owed = self.ledger.owed.get(push.id)
-        if detailed():
+        if is_debug_enabled():
             event("push.unsent", id=push.id, route=push.endpoint, why=why.value)
         if owed is None:
             return it.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True)
@@ -91,7 +91,7 @@
             if item.push:
                 self.retries[self.ledger.owed[item.id].last] += 1
         self.dispatcher.start(endpoint, items)
-        for item in items if detailed() else ():
+        for item in items if is_debug_enabled() else ():
             owed = self.ledger.owed[item.id]
             facts = {"destination": owed.dest, "after": owed.last or "none"}
             event("push.began", id=item.id, push=item.push, route=endpoint, **facts)
--- a/ryestack/lifecycle/replication/peering.py
+++ b/ryestack/lifecycle/replication/peering.py
@@ -5,8 +5,8 @@
 from contextlib import suppress
 
 from ...operator.schema import Peers
-from ...peers.node import Node, Terms
-from ...peers.roster import TWIN
+from ...peers.node import ClusterConfig, Node
+from ...peers.roster import DUPLICATE_NAME
 from ...peers.transport import PeerClient, PeerListener
 from ..config import BadConfig
 from ..phases import LOOK
@@ -38,7 +38,7 @@
             self.bind()
         lives = Incarnations(self.folder, sole)
         zones = {relay.name: relay.zone for relay in self.peers.relays}
-        terms = Terms(self.peers.cluster, self.name, zones, self.peers.guards, self.peers.lease)
+        terms = ClusterConfig(self.peers.cluster, self.name, zones, self.peers.guards, self.peers.lease)
         chance = random.Random(f"{self.seed}:{self.name}")
         node = Node(terms, lives.life, lives.sole, chance, self.owner.clock())
         self.replication = ReplicatedWork(self.owner, node, self.send, self.peers.alone, lives)
@@ -53,14 +53,16 @@
     def refused(self, why: str) -> None:
         """A name belongs to one relay: who comes later, and can't prove that the other is over, ends."""
         late = self.replication.now() > self.began + PATIENCE * self.peers.lease
-        if why == TWIN and late and not self.replication.acted and not self.twin.done():
+        if why == DUPLICATE_NAME and late and not self.replication.acted and not self.twin.done():
             self.twin.set_result(why)
 
     def bind(self) -> None:
         try:
             self.listener.bind()
         except OSError as problem:
-            raise BadConfig(f"peers.relays: {self.name}: {self.listener.at}: {problem.strerror}") from None
+            raise BadConfig(
+                f"peers.relays: {self.name}: {self.listener.address}: {problem.strerror}"
+            ) from None
 
     async def succeed(self) -> None:
         """The predecessor of an upgrade has the address until its end; nothing of it can act after that."""
@@ -78,7 +80,7 @@
         try:
             await asyncio.wait([running, self.twin], return_when=asyncio.FIRST_COMPLETED)
             if self.twin.done():
-                raise BadConfig(f"peers.name: {self.name}: {TWIN}")
+                raise BadConfig(f"peers.name: {self.name}: {DUPLICATE_NAME}")
             await running
         finally:
             running.cancel()
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -1,7 +1,7 @@
 """The owner's work in hand as its replicas hold it: what waits for them, what is taken over, what must stop.
 
-It carries out what the pure core (`peers/`) says: a promise waits until it is covered, or until WAIT is
-over, as the table in docs/design/peers.md has it; work of a shard is in the module only while this relay
+It carries out what the pure core (`peers/`) says: a promise waits until it is covered, or until the
+timeout, as the table in docs/design/peers.md has it; work of a shard is in the module only while this relay
 may act on it.
 """
 
@@ -14,7 +14,7 @@
 from ...interface import Effect
 from ...observe.log import event
 from ...peers.node import Node
-from ...peers.promises import TICK, WAIT, cover, decided
+from ...peers.promises import COVER_TIMEOUT_S, TICK_S, action_for, cover_result
 from ...peers.shard import Shard
 from ...ports import Verdict
 from . import record_codec
@@ -54,10 +54,10 @@
         ours = list(self.stray.values()) if len(self.lives.before) == 1 else []
         journal = [record for owed in ours for record in record_codec.all_of(owed)]
         for life in self.lives.before:
-            self.node.claim((self.node.terms.me, life), self.now(), journal)
+            self.node.claim((self.node.config.local_name, life), self.now(), journal)
         while True:
             self.tick()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
 
     def now(self) -> float:
         return self.owner.clock()
@@ -77,12 +77,12 @@
 
     def hear(self, envelope):
         try:
-            return self.node.hear(envelope, self.now())
+            return self.node.handle_request(envelope, self.now())
         finally:
             self.flush()
 
     def answered(self, envelope) -> None:
-        self.node.answered(envelope, self.now())
+        self.node.handle_reply(envelope, self.now())
         self.flush()
 
     def flush(self) -> None:
@@ -111,22 +111,22 @@
 
     def turned_away(self) -> float | None:
         held = self.acts(self.node.own)
-        if held or decided("hand-in", "no lease", self.alone) != "turn away":
+        if held or action_for("hand-in", "no lease", self.alone) != "turn away":
             return None
         self.counts["refused alone"] += 1
-        return self.node.terms.lease
+        return self.node.config.lease
 
     def took(self, owed, message) -> None:
         shard = self.node.own
         if not self.acts(shard):  # outside any shard: nobody else knows of it, or ever will
-            self.counts[decided("hand-in", "no lease", self.alone)] += 1
+            self.counts[action_for("hand-in", "no lease", self.alone)] += 1
             self.owner.ledger.alone(owed.id)
             return self.verdict(message, Verdict.TAKEN)
         self.shard_of[owed.id] = shard
         self.wait(shard, self.write(shard, [record_codec.taken(owed)]), partial(self.covers, owed, message))
 
     def covers(self, owed, message, covered: bool) -> None:
-        done = decided("hand-in", cover(covered), self.alone)
+        done = action_for("hand-in", cover_result(covered), self.alone)
         self.counts[done] += 1
         if done != "leave in doubt":
             return self.verdict(message, Verdict.TAKEN)
@@ -155,7 +155,7 @@
 
     def clear(self, cleared: asyncio.Future, covered: bool) -> None:
         if not cleared.done():
-            cleared.set_result(decided("push", cover(covered), self.alone) == "send")
+            cleared.set_result(action_for("push", cover_result(covered), self.alone) == "send")
 
     def ended(self, owed, push: int, never_ran: bool) -> None:
         if shard := self.shard_of.get(owed.id):
@@ -176,7 +176,7 @@
         self.wait(shard, at, partial(self.tell, owed.id, notice, tell), inf)
 
     def tell(self, name: str, notice: dict, tell, covered: bool) -> None:
-        if decided("notice", cover(covered), self.alone) == "tell":
+        if action_for("notice", cover_result(covered), self.alone) == "tell":
             tell(name, notice)
 
     # -- beginning and stopping to act ------------------------------------------------------------------
@@ -191,7 +191,7 @@
             )  # never covered as it stands: what is there is written anew when we act again
         return self.node.write(shard, records, self.now())
 
-    def wait(self, shard: Shard, at: int, done, span: float = WAIT) -> None:
+    def wait(self, shard: Shard, at: int, done, span: float = COVER_TIMEOUT_S) -> None:
         if shard.majority == 1 or shard.covered() >= at:
             return done(True)
         self.waiting.append(Waiting(shard, at, self.now() + span, done))
--- a/ryestack/lifecycle/replication/takeover.py
+++ b/ryestack/lifecycle/replication/takeover.py
@@ -41,11 +41,11 @@
         """All that can come of that shard of ours is known: what is over there is struck, what is not in it
         goes on."""
         kept = shard.contents
-        for gone in [n for n in kept.gone if n in self.stray or n in self.paused]:
+        for gone in [n for n in kept.finished if n in self.stray or n in self.paused]:
             self.counts["struck"] += 1
             self.forget(gone)
         left = [n for n in self.paused if self.shard_of.get(n) is shard and n not in kept.items]
-        if shard.name[0] == self.node.terms.me:
+        if shard.name[0] == self.node.config.local_name:
             self.regained.add(shard.name[1])
         if self.stray and self.regained >= set(self.lives.before):
             replicated = {name for each in self.node.shards.values() for name in each.contents.items}
@@ -59,7 +59,7 @@
 
     def is_empty(self, life: int) -> bool:
         """Whether nothing is left in the shard of that life of ours."""
-        shard = self.node.shards.get((self.node.terms.me, life))
+        shard = self.node.shards.get((self.node.config.local_name, life))
         return shard is not None and not shard.contents.items
 
     def go_on(self, owed: list, shard: Shard) -> None:
--- a/ryestack/observe/figures.py
+++ b/ryestack/observe/figures.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-TYPE = "text/plain; version=0.0.4; charset=utf-8"
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "lb_"
 # How a notification ended -> the operators' word.
 OUTCOMES = {"delivered": "passed", "throttled": "dropped", "expired": "bad_gateway"}
@@ -37,7 +37,7 @@
 )
 
 
-def text(
+def render(
     handled: Counter,
     categories: Iterable[str],
     values: dict[str, float],
--- a/ryestack/observe/log.py
+++ b/ryestack/observe/log.py
@@ -28,7 +28,7 @@
         _write(kind, fields, held)
 
 
-def detailed() -> bool:
+def is_debug_enabled() -> bool:
     """Whether each notification and push is told: asked first, where telling would cost a busy relay time."""
     return _least <= 10
 
--- a/ryestack/observe/pages.py
+++ b/ryestack/observe/pages.py
@@ -13,7 +13,7 @@
     return "\n".join(rows)
 
 
-def renewed(page: str) -> str:
+def with_current_table(page: str) -> str:
     """The page with its table made anew; ValueError if it has no place for it."""
     head, begin, rest = page.partition(BEGIN)
     _, end, tail = rest.partition(END)
--- a/ryestack/peers/contents.py
+++ b/ryestack/peers/contents.py
@@ -19,7 +19,7 @@
 class Contents:
     def __init__(self, records=()):
         self.items: dict[str, list[Record]] = {}  # the facts of each notification that is owed, in order
-        self.gone: dict[
+        self.finished: dict[
             str, float
         ] = {}  # over already, and their time, of the wall: who comes back must know
         self.apply(records)
@@ -28,15 +28,15 @@
         for record in records:
             if record.over:
                 self.items.pop(record.id, None)
-                self.gone[record.id] = record.due
-            elif record.id not in self.gone:
+                self.finished[record.id] = record.due
+            elif record.id not in self.finished:
                 self.items.setdefault(record.id, []).append(record)
 
-    def whole(self) -> list[Record]:
+    def snapshot(self) -> list[Record]:
         """Records that give the same again."""
-        over = [Record(name, b"", True, due) for name, due in self.gone.items()]
+        over = [Record(name, b"", True, due) for name, due in self.finished.items()]
         return [*over, *(record for records in self.items.values() for record in records)]
 
     def forget(self, wall: float) -> None:
         """Those whose time is up can come back no more."""
-        self.gone = {name: due for name, due in self.gone.items() if due > wall}
+        self.finished = {name: due for name, due in self.finished.items() if due > wall}
--- a/ryestack/peers/node.py
+++ b/ryestack/peers/node.py
@@ -16,11 +16,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ClusterConfig:
     """What all relays of a cluster are told alike, and which of them this one is. zones: every name's."""
 
     cluster: str
-    me: str
+    local_name: str
     zones: dict[str, str]
     replicas: int
     lease: float
@@ -31,34 +31,34 @@
 
 
 class Node:
-    def __init__(self, terms: Terms, life: int, sole: bool, chance, now: float):
-        self.terms, self.life, self.sole, self.random = terms, life, sole, chance
+    def __init__(self, terms: ClusterConfig, life: int, sole: bool, chance, now: float):
+        self.config, self.life, self.sole, self.random = terms, life, sole, chance
         self.number, self.effects, self.refused = 0, [], 0
         self.forgets_at = now
         self.barred = now + terms.lease * (1.0 + DRIFT)
-        self.roster = Roster([n for n in terms.zones if n != terms.me], terms.lease)
+        self.roster = Roster([n for n in terms.zones if n != terms.local_name], terms.lease)
         self.shards: dict[ShardName, Shard] = {}
-        self.own = self.shard((terms.me, life))
+        self.own = self.shard((terms.local_name, life))
         self.own.open(now)
         self.gather(self.own)
 
     def shard(self, name: ShardName) -> Shard:
         if name not in self.shards:
-            members = group(name[0], self.terms.zones, self.terms.replicas)
-            if self.terms.me not in members:
+            members = group(name[0], self.config.zones, self.config.replicas)
+            if self.config.local_name not in members:
                 raise Refused("not a replica of that relay")
-            made = Shard(name, members, self.terms.me, self.terms.lease, self.random, self.barred)
+            made = Shard(name, members, self.config.local_name, self.config.lease, self.random, self.barred)
             self.shards[name] = made
         return self.shards[name]
 
     # -- inputs ---------------------------------------------------------------------------------------
 
-    def hear(self, envelope: Envelope, now: float) -> Envelope:
+    def handle_request(self, envelope: Envelope, now: float) -> Envelope:
         """Answers a request; raises Refused."""
         message = envelope.message
         try:
             self.admit(envelope, now)
-            if envelope.message.shard[0] not in self.terms.zones:
+            if envelope.message.shard[0] not in self.config.zones:
                 raise Refused("a shard of no relay here")
             lives = [known for known in self.shards if known[0] == message.shard[0]]
             if message.shard not in self.shards and len(lives) >= LIVES:
@@ -78,17 +78,17 @@
         return self.envelope(envelope.sender, answer)
 
     def admit(self, envelope: Envelope, now: float) -> None:
-        if envelope.cluster != self.terms.cluster:
+        if envelope.cluster != self.config.cluster:
             raise Refused("of another cluster")
-        if envelope.to != self.terms.me:
+        if envelope.to != self.config.local_name:
             raise Refused("for another relay")
         if why := self.roster.admit(envelope.sender, envelope.life, envelope.number, envelope.sole, now):
             raise Refused(why)
 
-    def answered(self, envelope: Envelope, now: float) -> None:
+    def handle_reply(self, envelope: Envelope, now: float) -> None:
         """An answer to one of ours; one that makes no sense changes nothing."""
         message, shard = envelope.message, self.shards.get(tuple(envelope.message.shard))
-        if envelope.cluster != self.terms.cluster or shard is None or envelope.sender not in shard.others:
+        if envelope.cluster != self.config.cluster or shard is None or envelope.sender not in shard.others:
             self.refused += 1
             return
         self.roster.spoke(envelope.sender, now)
@@ -107,7 +107,7 @@
             self.gather(shard)
             if forgets:
                 shard.contents.forget(wall)
-            idle = not shard.contents.items and now >= shard.busy_until() + DONE * self.terms.lease
+            idle = not shard.contents.items and now >= shard.busy_until() + DONE * self.config.lease
             if idle and shard is not self.own:
                 del self.shards[name]
         turns, self.roster.turns = self.roster.turns, []
@@ -128,7 +128,7 @@
     def renew(self, now: float) -> int:
         """Our shard is another's for good: what comes from here on is of a new life and shard."""
         self.life, self.sole = self.life + 1, True
-        self.own = self.shard((self.terms.me, self.life))
+        self.own = self.shard((self.config.local_name, self.life))
         self.own.open(now)
         self.gather(self.own)
         return self.life
@@ -145,7 +145,9 @@
 
     def envelope(self, to: str, message) -> Envelope:
         self.number += 1
-        return Envelope(self.terms.cluster, self.terms.me, self.life, to, self.number, message, self.sole)
+        return Envelope(
+            self.config.cluster, self.config.local_name, self.life, to, self.number, message, self.sole
+        )
 
 
 def _released(envelope: Envelope) -> bool:
--- a/ryestack/peers/promises.py
+++ b/ryestack/peers/promises.py
@@ -3,8 +3,12 @@
 A client waits 400 ms for its answer, so a promise that is not covered by WAIT is answered without a cover.
 """
 
-WAIT = 0.15  # seconds from the journal's record to the answer without a cover: a round trip and a retry fit
-TICK = 0.03  # seconds between looks at what is due: a beat is a quarter of a lease, and that a second or more
+COVER_TIMEOUT_S = (
+    0.15  # seconds from the journal's record to the answer without a cover: a round trip and a retry fit
+)
+TICK_S = (
+    0.03  # seconds between looks at what is due: a beat is a quarter of a lease, and that a second or more
+)
 
 # (what waits, how its cover came, what the operator chose for alone) -> what is done
 ROWS = (
@@ -24,9 +28,9 @@
 ENDLESS = {"notice"}  # waits until it is covered, or the shard is another's
 
 
-def decided(what: str, how: str, alone: str) -> str:
+def action_for(what: str, how: str, alone: str) -> str:
     return TABLE[what, how, alone]
 
 
-def cover(covered: bool) -> str:
+def cover_result(covered: bool) -> str:
     return "covered" if covered else "late"
--- a/ryestack/peers/roster.py
+++ b/ryestack/peers/roster.py
@@ -11,7 +11,7 @@
     ("there quiet", "said it leaves", "left"),
 )
 TABLE = {(state, heard): to for states, heard, to in ROWS for state in states.split()}
-TWIN = "another relay of that name still speaks"
+DUPLICATE_NAME = "another relay of that name still speaks"
 GONE = 10  # times the lease: far past any pause that a take-over has not dealt with
 WINDOW = 1024  # numbers back within which a message may come late; what is older counts as doubled
 
@@ -39,7 +39,7 @@
             return "of a life that is over"
         if life > peer.life:
             if not sole and peer.life and now < peer.heard + self.lease:
-                return TWIN
+                return DUPLICATE_NAME
             peer.life, peer.newest, peer.seen = life, 0, set()
         if number in peer.seen or number <= peer.newest - WINDOW:
             return "said before"
--- a/ryestack/peers/shard.py
+++ b/ryestack/peers/shard.py
@@ -131,7 +131,7 @@
         self.epoch = v.epoch
         self.turn("a higher epoch", now)
         self.ask_at = now + self.lease  # let who asked take it up
-        return Voted(self.name, v.epoch, True, v.epoch, 0.0, self.at, self.contents.whole(), self.knows)
+        return Voted(self.name, v.epoch, True, v.epoch, 0.0, self.at, self.contents.snapshot(), self.knows)
 
     def on_voted(self, now: float, sender: str, v: Voted) -> None:
         if v.epoch != self.asks_in():
@@ -180,7 +180,7 @@
         best = max(self.votes.values(), key=lambda v: tuple(v.at), default=None)
         if best is not None and tuple(best.at) > self.at:
             self.contents, self.at = Contents(best.records), tuple(best.at)
-        known = {*self.contents.items, *self.contents.gone}
+        known = {*self.contents.items, *self.contents.finished}
         self.contents.apply([record for record in self.journal if record.id not in known])
         self.journal = []
         self.log, self.base, self.ask_at, self.tries, self.told = [], self.at[1] + 1, inf, 0, 0
@@ -245,5 +245,5 @@
         settled = self.covered() >= self.barrier
         whole = member.has < self.base
         base = self.at[1] if whole else member.has
-        records = self.contents.whole() if whole else self.log[member.has - self.base :]
+        records = self.contents.snapshot() if whole else self.log[member.has - self.base :]
         return Append(self.name, self.epoch, now, base, records, whole, settled)
--- a/ryestack/peers/transport.py
+++ b/ryestack/peers/transport.py
@@ -29,14 +29,14 @@
     """Where peers' envelopes arrive. hear(envelope) -> its answer, or raises Refused."""
 
     def __init__(self, at: tuple[str, int], hear):
-        self.at, self.hear, self.listener, self.sock = at, hear, None, None
+        self.address, self.hear, self.listener, self.sock = at, hear, None, None
         self.server = web.Server(
             self.handle, access_log=None, keepalive_timeout=IDLE, lingering_time=0.0, logger=QUIET
         )
 
     def bind(self) -> None:
         """Raises OSError where the address is in use."""
-        self.sock = socket.create_server(self.at, backlog=MOST)
+        self.sock = socket.create_server(self.address, backlog=MOST)
 
     async def open(self) -> str:
         self.listener = await asyncio.get_running_loop().create_server(self.accept, sock=self.sock)
--- a/ryestack/placement/model.py
+++ b/ryestack/placement/model.py
@@ -28,7 +28,7 @@
     state: State = State.UP
     other: int = 0
 
-    def room(self) -> int:
+    def capacity(self) -> int:
         return max(0, self.allowance - self.other)
 
 
@@ -38,50 +38,50 @@
 
     name: str
     size: int
-    on: tuple[str, ...] = ()
+    holders: tuple[str, ...] = ()
     copies: int = 2
     growth: int = 0
 
-    def most(self) -> int:
+    def max_size(self) -> int:
         return self.size + self.growth
 
 
 @dataclass(slots=True)
-class Placing:
+class Placement:
     """Who holds what, as it changes step by step. used: bytes by node, both copies of what moves counted."""
 
     nodes: dict[str, Node]
     shards: dict[str, Shard]
-    on: dict[str, set[str]] = field(default_factory=dict)
+    holders: dict[str, set[str]] = field(default_factory=dict)
     used: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, nodes: list[Node], shards: list[Shard]) -> "Placing":
+    def of(cls, nodes: list[Node], shards: list[Shard]) -> "Placement":
         made = cls({n.name: n for n in nodes}, {s.name: s for s in shards})
         made.used = {n.name: 0 for n in nodes}
         for shard in shards:
-            made.on[shard.name] = {n for n in shard.on if n in made.nodes and made.holds(n)}
-            for name in made.on[shard.name]:
-                made.used[name] += shard.most()
+            made.holders[shard.name] = {n for n in shard.holders if n in made.nodes and made.holds(n)}
+            for name in made.holders[shard.name]:
+                made.used[name] += shard.max_size()
         return made
 
     def holds(self, name: str) -> bool:
         return self.nodes[name].state in SOURCES
 
     def free(self, name: str) -> int:
-        return self.nodes[name].room() - self.used[name]
+        return self.nodes[name].capacity() - self.used[name]
 
     def zones(self, shard: str, without: str = "") -> list[str]:
-        return [self.nodes[n].zone for n in self.on[shard] if n != without]
+        return [self.nodes[n].zone for n in self.holders[shard] if n != without]
 
     def add(self, shard: str, name: str) -> None:
-        self.on[shard].add(name)
-        self.used[name] += self.shards[shard].most()
+        self.holders[shard].add(name)
+        self.used[name] += self.shards[shard].max_size()
 
     def drop(self, shard: str, name: str) -> None:
-        self.on[shard].discard(name)
-        self.used[name] -= self.shards[shard].most()
+        self.holders[shard].discard(name)
+        self.used[name] -= self.shards[shard].max_size()
 
     def load(self, name: str) -> float:
         """The part of its room that is used: 0 to 1."""
-        return self.used[name] / max(1, self.nodes[name].room())
+        return self.used[name] / max(1, self.nodes[name].capacity())
--- a/ryestack/placement/plan.py
+++ b/ryestack/placement/plan.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from itertools import chain
 
-from .model import GAINS, Node, Placing, Shard, State
+from .model import GAINS, Node, Placement, Shard, State
 
 TOLERANCE = 0.10  # of a node's room over the mean: less is not worth the bytes, and growth would undo it
 GAIN = 0.5  # a move for load may turn a difference round by so much of it: else it comes back
@@ -36,7 +36,7 @@
     no room."""
 
     steps: list[list[Move]] = field(default_factory=list)
-    lacks: list[tuple[str, str, int]] = field(default_factory=list)
+    shortfalls: list[tuple[str, str, int]] = field(default_factory=list)
 
     def moves(self) -> list[Move]:
         return list(chain.from_iterable(self.steps))
@@ -55,37 +55,37 @@
         made.level()
         if len(made.moves) == before:
             break
-    return Plan(_steps(made.moves, nodes, shards), made.lacks)
+    return Plan(_steps(made.moves, nodes, shards), made.shortfalls)
 
 
 class _Planner:
     """Moves one after another on a placing; what runs side by side is found afterwards."""
 
     def __init__(self, nodes: list[Node], shards: list[Shard], tolerance: float):
-        self.at, self.tolerance = Placing.of(nodes, shards), tolerance
+        self.at, self.tolerance = Placement.of(nodes, shards), tolerance
         self.moves: list[Move] = []
-        self.lacks: list[tuple[str, str, int]] = []
+        self.shortfalls: list[tuple[str, str, int]] = []
         self.gaining = [n.name for n in nodes if n.state in GAINS]
-        self.largest = sorted(shards, key=lambda s: (-s.most(), s.name))
+        self.largest = sorted(shards, key=lambda s: (-s.max_size(), s.name))
 
     # -- what it is for -------------------------------------------------------------------------------
 
     def mend(self) -> None:
         for shard in self.largest:
-            while len(self.at.on[shard.name]) < shard.copies and self.at.on[shard.name]:
+            while len(self.at.holders[shard.name]) < shard.copies and self.at.holders[shard.name]:
                 if not self.put(shard, "", "a copy lacks"):
                     break
 
     def empty(self) -> None:
         for shard in self.largest:
-            for name in sorted(self.at.on[shard.name]):
+            for name in sorted(self.at.holders[shard.name]):
                 if self.at.nodes[name].state is State.DRAINING:
                     self.put(shard, name, "its node drains")
 
     def spread(self) -> None:
         """Copies that share a zone, where another zone has room."""
         for shard in self.largest:
-            for name in sorted(self.at.on[shard.name]):
+            for name in sorted(self.at.holders[shard.name]):
                 zones = self.at.zones(shard.name, name)
                 target = self.target(shard, name) if self.at.nodes[name].zone in zones else ""
                 if target and self.at.nodes[target].zone not in zones:
@@ -103,11 +103,11 @@
                 return
 
     def relieve(self, full: str, mean: float) -> bool:
-        over = (self.at.load(full) - mean - self.tolerance) * self.at.nodes[full].room()
-        held = [s for s in self.largest if full in self.at.on[s.name]]
+        over = (self.at.load(full) - mean - self.tolerance) * self.at.nodes[full].capacity()
+        held = [s for s in self.largest if full in self.at.holders[s.name]]
         # Just what brings it back, else the largest that is less: many small ones would cost as much.
-        enough = sorted((s for s in held if s.most() >= over), key=lambda s: (s.most(), s.name))
-        for shard in [*enough[:8], *(s for s in held if s.most() < over)]:
+        enough = sorted((s for s in held if s.max_size() >= over), key=lambda s: (s.max_size(), s.name))
+        for shard in [*enough[:8], *(s for s in held if s.max_size() < over)]:
             target = self.target(shard, full, level=True)
             if target and self.gains(shard, full, target):
                 self.move(shard, full, target, "its node is fuller than others")
@@ -115,9 +115,9 @@
         return False
 
     def gains(self, shard: Shard, full: str, target: str) -> bool:
-        rooms = self.at.nodes[full].room(), self.at.nodes[target].room()
+        rooms = self.at.nodes[full].capacity(), self.at.nodes[target].capacity()
         before = self.at.load(full) - self.at.load(target)
-        after = before - shard.most() / max(1, rooms[0]) - shard.most() / max(1, rooms[1])
+        after = before - shard.max_size() / max(1, rooms[0]) - shard.max_size() / max(1, rooms[1])
         return after >= -before * GAIN  # else the other becomes the fuller one, and it comes back next time
 
     # -- where to -------------------------------------------------------------------------------------
@@ -128,7 +128,7 @@
         wanted = self.at.nodes[instead].zone in taken if instead else True
         fits = [
             n for n in self.gaining
-            if n not in self.at.on[shard.name] and self.at.free(n) >= shard.most()
+            if n not in self.at.holders[shard.name] and self.at.free(n) >= shard.max_size()
         ]  # fmt: skip
         if level and not wanted:
             fits = [n for n in fits if self.at.nodes[n].zone not in taken]
@@ -139,8 +139,8 @@
         target = self.target(shard, instead) or self.made_room(shard, instead)
         if not target:
             roomiest = max(self.gaining, key=lambda n: (self.at.free(n), n), default="")
-            short = shard.most() - (self.at.free(roomiest) if roomiest else 0)
-            self.lacks.append((roomiest, shard.name, short))
+            short = shard.max_size() - (self.at.free(roomiest) if roomiest else 0)
+            self.shortfalls.append((roomiest, shard.name, short))
             return False
         self.move(shard, instead, target, why)
         return True
@@ -148,10 +148,12 @@
     def made_room(self, shard: Shard, instead: str) -> str:
         """Room by way of a third node: a smaller piece leaves one that lacks little."""
         for name in sorted(self.gaining, key=lambda n: (-self.at.free(n), n)):
-            if name in self.at.on[shard.name]:
+            if name in self.at.holders[shard.name]:
                 continue
-            short = shard.most() - self.at.free(name)
-            held = [s for s in reversed(self.largest) if name in self.at.on[s.name] and s.most() >= short]
+            short = shard.max_size() - self.at.free(name)
+            held = [
+                s for s in reversed(self.largest) if name in self.at.holders[s.name] and s.max_size() >= short
+            ]
             for other in held[:8]:
                 third = self.target(other, name) if other.name != shard.name else ""
                 if third and third != instead:
@@ -160,9 +162,9 @@
         return ""
 
     def move(self, shard: Shard, instead: str, target: str, why: str) -> None:
-        holders = [n for n in self.at.on[shard.name] if n != target]
+        holders = [n for n in self.at.holders[shard.name] if n != target]
         source = instead or min(holders, key=lambda n: (self.at.load(n), n))
-        self.moves.append(Move(shard.name, source, target, instead, shard.most(), why))
+        self.moves.append(Move(shard.name, source, target, instead, shard.max_size(), why))
         self.at.add(shard.name, target)
         if instead:
             self.at.drop(shard.name, instead)
@@ -171,7 +173,7 @@
 def _steps(moves: list[Move], nodes: list[Node], shards: list[Shard]) -> list[list[Move]]:
     """As many side by side as room for both copies and AT_ONCE allow, in an order that keeps each shard's
     own."""
-    at, left, steps = Placing.of(nodes, shards), list(moves), []
+    at, left, steps = Placement.of(nodes, shards), list(moves), []
     while left:
         step, busy, begun, wanted = [], {}, set(), set()
         for move in left:
--- a/ryestack/wire/client_connection.py
+++ b/ryestack/wire/client_connection.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from ..observe.log import detailed, event
+from ..observe.log import event, is_debug_enabled
 from ..ports import Closed
 from .sockets import unread, waited
 
@@ -77,7 +77,7 @@
             self.ending.timer.cancel()
         if self._manager is not None:
             self._manager.closed[self.why] += 1
-        if detailed():
+        if is_debug_enabled():
             event("client.closed", why=self.why.value, requests=self._request_count)
         super().connection_lost(exc)
 
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -10,7 +10,7 @@
 from ryestack.interface import Result
 from ryestack.lifecycle.watched import Watched
 from ryestack.observe import log
-from ryestack.observe.pages import renewed
+from ryestack.observe.pages import with_current_table
 from ryestack.observe.registry import EVENTS
 from ryestack.observe.repeats import Repeats
 
@@ -86,9 +86,9 @@
 class Registry(unittest.TestCase):
     def test_the_page_is_as_the_registry_says(self):
         page = (ROOT / "docs/oncall.md").read_text()
-        self.assertEqual(renewed(page), page)
+        self.assertEqual(with_current_table(page), page)
         with self.assertRaises(ValueError):
-            renewed("no place")
+            with_current_table("no place")
 
     def test_every_event_is_used_and_every_line_is_an_event(self):
         used, plain = set(), []
--- a/tests/test_peers_config.py
+++ b/tests/test_peers_config.py
@@ -16,7 +16,7 @@
 from ryestack.operator.schema import Peer, Peers, peers_rules
 from ryestack.peers import messages
 from ryestack.peers.messages import Append, BadMessage, Envelope, Record, Vote, Voted
-from ryestack.peers.node import LIVES, Node, Refused, Terms
+from ryestack.peers.node import LIVES, ClusterConfig, Node, Refused
 from ryestack.peers.transport import PeerClient, PeerListener
 
 RELAYS = [Peer(f"r{i}", f"127.0.0.1:{9000 + i}", "ab"[i % 2]) for i in range(3)]
@@ -42,7 +42,7 @@
 
 def node(now=0.0):
     zones = {"r0": "a", "r1": "b", "r2": "a"}
-    return Node(Terms("c", "r0", zones, 2, 1.0), 5, False, random.Random(1), now)
+    return Node(ClusterConfig("c", "r0", zones, 2, 1.0), 5, False, random.Random(1), now)
 
 
 def envelope(message, **more):
@@ -60,7 +60,7 @@
 def test_a_foreign_letter_changes_nothing(more):
     n = node()
     with pytest.raises(Refused):
-        n.hear(envelope(APPEND, **more), 1.0)
+        n.handle_request(envelope(APPEND, **more), 1.0)
     assert list(n.shards) == [("r0", 5)] and n.refused == 1
 
 
@@ -68,7 +68,7 @@
     n = node()
     for life in range(1, 300):
         try:
-            n.hear(envelope(Append(("r1", life), 3, 0.0, 0, [], True), number=life), 5.0)
+            n.handle_request(envelope(Append(("r1", life), 3, 0.0, 0, [], True), number=life), 5.0)
         except Refused as why:
             assert "too many lives" in str(why)
     assert len(n.shards) == LIVES + 1
@@ -108,13 +108,13 @@
 
 def test_old_lives_doubled_letters_and_a_second_relay_of_a_name_are_refused_and_a_folder_proves_it_is_none():
     n = node()
-    n.hear(envelope(APPEND), 5.0)
+    n.handle_request(envelope(APPEND), 5.0)
     for more, why in (({}, "said before"), ({"life": 2}, "over"), ({"life": 4, "number": 2}, "still speaks")):
         with pytest.raises(Refused, match=why):
-            n.hear(envelope(APPEND, **more), 5.1)
-    n.hear(envelope(APPEND, life=4, number=2, sole=True), 5.2)
+            n.handle_request(envelope(APPEND, **more), 5.1)
+    n.handle_request(envelope(APPEND, life=4, number=2, sole=True), 5.2)
     with pytest.raises(Refused, match="over"):
-        n.hear(envelope(APPEND, number=9), 5.3)
+        n.handle_request(envelope(APPEND, number=9), 5.3)
 
 
 @given(st.binary(max_size=400))
@@ -133,7 +133,7 @@
         if body:
             body[chance.randrange(len(body))] = chance.randrange(256)
         with contextlib.suppress(BadMessage, Refused):
-            n.hear(messages.decode(bytes(body)), 5.0)
+            n.handle_request(messages.decode(bytes(body)), 5.0)
     assert len(n.shards) < 12 and len(n.roster.peers) == 2
 
 
@@ -146,7 +146,7 @@
     n = node()
     for number, message in enumerate(said, 1):
         with contextlib.suppress(Refused):
-            n.hear(envelope(message, number=number), 5.0 + number)
+            n.handle_request(envelope(message, number=number), 5.0 + number)
 
 
 def test_an_address_in_use_and_a_name_that_another_has_end_a_start_with_status_2(tmp_path):
--- a/tests/test_peers_explored.py
+++ b/tests/test_peers_explored.py
@@ -60,7 +60,7 @@
             made.others = {n: copy.copy(m) for n, m in shard.others.items()}
             made.contents = copy.copy(shard.contents)
             made.contents.items = {i: list(r) for i, r in shard.contents.items.items()}
-            made.contents.gone = dict(shard.contents.gone)
+            made.contents.finished = dict(shard.contents.finished)
             made.votes, made.log = dict(shard.votes), list(shard.log)
             made.effects = []
         return other
--- a/tests/test_peers_promises.py
+++ b/tests/test_peers_promises.py
@@ -14,7 +14,7 @@
     for what, how, alone in itertools.product(
         ("hand-in", "push", "notice"), ("covered", "late"), ("serve", "refuse")
     ):
-        assert promises.decided(what, how, alone)
+        assert promises.action_for(what, how, alone)
     assert all(do != "take" or how == "covered" for (_, how, _), do in promises.TABLE.items())
 
 
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -7,7 +7,7 @@
 from ryestack import interface as it
 from ryestack.lifecycle.replication import record_codec
 from ryestack.lifecycle.replication.replicated import ReplicatedWork
-from ryestack.peers.node import Node, Terms
+from ryestack.peers.node import ClusterConfig, Node
 from ryestack.peers.shard import Shard
 from ryestack.store.ledger import Ledger
 from ryestack.store.owed import Owed
@@ -19,7 +19,7 @@
     adopted, ledger = [], Ledger(None)
     owner = SimpleNamespace(clock=clock, wall=1000.0, ledger=ledger, settings=settings())
     owner.adopt, owner.pause = lambda owed: adopted.extend(o.id for o in owed), lambda names: None
-    node = Node(Terms("c", "r0", {"r0": "a"}, 0, 1.0), 1, True, random.Random(1), clock())
+    node = Node(ClusterConfig("c", "r0", {"r0": "a"}, 0, 1.0), 1, True, random.Random(1), clock())
     lives = SimpleNamespace(before=[], done=lambda finished: None)
     return ReplicatedWork(owner, node, lambda *_: None, "serve", lives), adopted
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from ryestack.placement import moves
-from ryestack.placement.model import Node, Placing, Shard, State
+from ryestack.placement.model import Node, Placement, Shard, State
 from ryestack.placement.plan import AT_ONCE, plan
 
 PHASES = [Phase.explicit, Phase.generate]  # no shrinking: it takes minutes
@@ -36,11 +36,11 @@
 
 def played(nodes, shards, made):
     """The placing after the plan; raises where a step is not what a move may be."""
-    at = Placing.of(nodes, shards)
+    at = Placement.of(nodes, shards)
     for step in made.steps:
         busy = {}
         for move in step:
-            assert move.source in at.on[move.shard] and move.target not in at.on[move.shard]
+            assert move.source in at.holders[move.shard] and move.target not in at.holders[move.shard]
             at.add(move.shard, move.target)
             for name in (move.source, move.target):
                 busy[name] = busy.get(name, 0) + 1
@@ -56,15 +56,15 @@
 @given(cases())
 def test_no_node_passes_its_headroom_at_any_step_and_no_copy_is_lost(case):
     nodes, shards = case
-    made, before = plan(nodes, shards), Placing.of(nodes, shards)
+    made, before = plan(nodes, shards), Placement.of(nodes, shards)
     at = played(nodes, shards, made)
     for shard in shards:
-        assert len(at.on[shard.name]) >= min(len(before.on[shard.name]), 1)
-        assert len(at.on[shard.name]) >= len(before.on[shard.name])
-    lacking = {shard for _, shard, _ in made.lacks}
-    for shard in (s for s in shards if before.on[s.name]):
-        drains = any(at.nodes[n].state is State.DRAINING for n in at.on[shard.name])
-        if drains or len(at.on[shard.name]) < shard.copies:
+        assert len(at.holders[shard.name]) >= min(len(before.holders[shard.name]), 1)
+        assert len(at.holders[shard.name]) >= len(before.holders[shard.name])
+    lacking = {shard for _, shard, _ in made.shortfalls}
+    for shard in (s for s in shards if before.holders[s.name]):
+        drains = any(at.nodes[n].state is State.DRAINING for n in at.holders[shard.name])
+        if drains or len(at.holders[shard.name]) < shard.copies:
             assert shard.name in lacking, "what it is for was not reached, and nobody says so"
 
 
@@ -82,7 +82,7 @@
     """Nothing oscillates: a second plan moves nothing for load or zones."""
     nodes, shards = case
     at = played(nodes, shards, plan(nodes, shards))
-    after = [Shard(s.name, s.size, tuple(sorted(at.on[s.name])), s.copies, s.growth) for s in shards]
+    after = [Shard(s.name, s.size, tuple(sorted(at.holders[s.name])), s.copies, s.growth) for s in shards]
     again = plan(nodes, after)
     assert not [
         m for m in again.moves() if m.why in ("its node is fuller than others", "its copies share a zone")
@@ -110,7 +110,7 @@
 def test_where_nothing_fits_it_says_which_node_lacks_how_many_bytes_and_moves_what_it_can():
     nodes = [Node("a", 100, state=State.DRAINING), Node("b", 50)]
     made = plan(nodes, [Shard("large", 70, ("a",), 1), Shard("small", 20, ("a",), 1)])
-    assert [m.shard for m in made.moves()] == ["small"] and made.lacks == [("b", "large", 20)]
+    assert [m.shard for m in made.moves()] == ["small"] and made.shortfalls == [("b", "large", 20)]
 
 
 @pytest.mark.parametrize("heard", list(itertools.product(sorted({h for _, h, _ in moves.ROWS}), repeat=3)))
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -48,7 +48,7 @@
     def test_any_name_is_read_back(self):
         names = ["plain", 'a"b', "back\\slash", "two\nlines"]
         values = {name: n for n, (name, *_) in enumerate(figures.FIGURES)}
-        told = read(figures.text({(n, end): 3 for n in names for end in figures.OUTCOMES}, names, values))
+        told = read(figures.render({(n, end): 3 for n in names for end in figures.OUTCOMES}, names, values))
         for name in names:
             self.assertEqual(told[handled(name, "passed")], 3)
         self.assertEqual(told["lb_load_errors_total", ()], len(values) - 1)
