--- a/ryestack/peers/__init__.py
+++ b/ryestack/peers/__init__.py
@@ -1,7 +1,7 @@
-"""Relays of one installation that guard each other's work in hand, each for a few others.
+"""Relays of one cluster replicate the notifications that each of them owes to a few other relays.
 
-Spoken: HTTP/1.1 with msgpack bodies, those of `messages.py`, between the relays that an operator file names.
-Pure: `groups` (who guards whom), `shard` and `contents` (one life's work as one member has it), `roster`
-(who is there), `node` (all of it in one relay). Sockets: `transport`. Left out: a set of relays that changes
-without a restart, encryption.
+Protocol: HTTP/1.1 with the msgpack bodies of `messages.py`, between the relays that the operator file lists.
+Pure modules: `groups` (which relays replicate which), `shard` and `contents` (one relay life's work as one
+group member holds it), `roster` (which peers are reachable), `node` (all shards of one relay). Sockets:
+`transport`. Not supported: changing the set of relays without a restart, encryption.
 """
--- a/ryestack/peers/groups.py
+++ b/ryestack/peers/groups.py
@@ -1,4 +1,5 @@
-"""Who guards whom: the same at every relay from the same names and zones; a change moves little of it."""
+"""Replica placement by rendezvous hashing: every relay computes the same groups from the same names and
+zones, and adding or removing a relay changes few of them."""
 
 import hashlib
 
@@ -6,17 +7,17 @@
 def group(owner: str, zones: dict[str, str], replicas: int) -> tuple[str, ...]:
     """The owner and its replicas, the owner first.
 
-    zones: every relay's name to its zone. Each pair of names has a hash; the lowest are taken, at first one
-    from each zone that has none yet, the owner's own counted as having one.
+    zones: zone by relay name, for all relays. Relays are ranked by a hash of the pair of names, lowest first;
+    relays in zones that the group does not cover yet (the owner's zone counts as covered) are preferred.
     """
-    order = sorted((n for n in zones if n != owner), key=lambda n: (_mark(owner, n), n))
+    ranked = sorted((n for n in zones if n != owner), key=lambda n: (_rank(owner, n), n))
     chosen, covered = [], {zones[owner]}
-    while len(chosen) < replicas and (left := [n for n in order if n not in chosen]):
-        fresh = [n for n in left if zones[n] not in covered] or left
-        chosen.append(fresh[0])
-        covered.add(zones[fresh[0]])
+    while len(chosen) < replicas and (left := [n for n in ranked if n not in chosen]):
+        candidates = [n for n in left if zones[n] not in covered] or left
+        chosen.append(candidates[0])
+        covered.add(zones[candidates[0]])
     return (owner, *chosen)
 
 
-def _mark(owner: str, name: str) -> bytes:
+def _rank(owner: str, name: str) -> bytes:
     return hashlib.blake2b(f"{owner}\0{name}".encode(), digest_size=8).digest()
--- a/ryestack/peers/messages.py
+++ b/ryestack/peers/messages.py
@@ -1,23 +1,25 @@
-"""What relays say to each other, and how it is written. Any bytes give a message or BadMessage.
+"""Messages between relays and their msgpack encoding. Any bytes decode to an envelope or raise BadMessage.
 
-Times in messages are seconds of the clock of whoever wrote them; only the writer compares them with anything.
+Times in messages are seconds of the sender's clock; only the sender compares them with other times.
+Field names given with `msgspec.field` are the names on the wire, which relays of other builds use.
 """
 
 import msgspec
 
-LONGEST = (
-    16 * 1024 * 1024
-)  # bytes of a message: all that one relay owes fits its journal's allowance, and so here
-ShardName = tuple[str, int]  # an owner's name and its life
+# Bytes of a message: all that one relay owes fits in its journal's size limit, and so in one message.
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
+ShardName = tuple[str, int]  # an owner's name and its life: a number that grows with each start
 
 
 class BadMessage(Exception):
-    """Bytes that are no message, or one that is not for us."""
+    """The bytes are not a valid envelope, or a response exceeds the size limit."""
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """One fact about one notification: opaque here. over: nothing is owed any more; due: its time, wall
-    clock."""
+    """One fact about one notification; this package does not interpret `fact`.
+
+    over: the notification is finished; due: its deadline, wall clock.
+    """
 
     id: str
     fact: bytes = b""
@@ -26,80 +28,84 @@
 
 
 class Append(msgspec.Struct, frozen=True, tag="append"):
-    """The leader's records from position base on; whole: all there is at base, in place of what was there;
-    settled: all that the leader took up is covered in this epoch, so that nothing else of the shard can
-    come up."""
+    """Replication request of a leader, also its heartbeat and its lease request.
+
+    records: those after position base or, if whole, a snapshot of the shard at base, which replaces what the
+    member holds; settled: all that the leader took over is replicated in this epoch, so nothing else of the
+    shard can appear any more.
+    """
 
     shard: ShardName = msgspec.field(name="seat")
     epoch: int
-    asked: float
+    sent_at: float = msgspec.field(name="asked")
     base: int
     records: list[Record]
     whole: bool = False
     settled: bool = False
 
 
-class Appended(msgspec.Struct, frozen=True, tag="appended"):
-    """granted: nobody else gets our vote for a lease from now; at: epoch and position of what we have."""
+class AppendReply(msgspec.Struct, frozen=True, tag="appended"):
+    """granted: this member votes for nobody else for the length of a lease; position: the epoch and position
+    up to which it holds the shard; sent_at: as in the request."""
 
     shard: ShardName = msgspec.field(name="seat")
     epoch: int
-    asked: float
+    sent_at: float = msgspec.field(name="asked")
     granted: bool
-    at: tuple[int, int]
+    position: tuple[int, int] = msgspec.field(name="at")
 
 
-class Vote(msgspec.Struct, frozen=True, tag="vote"):
-    """Who asks would hold the shard in that epoch. released: the owner's life is over, as its folder
-    proves."""
+class VoteRequest(msgspec.Struct, frozen=True, tag="vote"):
+    """The sender wants to lead the shard in that epoch. released: the owner's life has ended, as its state
+    folder proves."""
 
     shard: ShardName = msgspec.field(name="seat")
     epoch: int
     released: bool = False
 
 
-class Voted(msgspec.Struct, frozen=True, tag="voted"):
-    """yes, with all we have (knows: since before any of it was covered); or no, with the highest epoch
-    known here and how long our grant still runs."""
+class VoteReply(msgspec.Struct, frozen=True, tag="voted"):
+    """granted: with everything this member holds (complete: it has lost none of it by a restart);
+    else with the highest epoch known here and the seconds until its lease grant expires."""
 
     shard: ShardName = msgspec.field(name="seat")
     epoch: int
-    yes: bool
+    granted: bool = msgspec.field(name="yes")
     highest: int
     wait: float = 0.0
-    at: tuple[int, int] = (0, 0)
+    position: tuple[int, int] = msgspec.field(name="at", default=(0, 0))
     records: list[Record] = []
-    knows: bool = False
+    complete: bool = msgspec.field(name="knows", default=False)
 
 
-Message = Append | Appended | Vote | Voted
+Message = Append | AppendReply | VoteRequest | VoteReply
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message with whose it is: cluster, sender and its life, receiver, and a number that grows.
+    """A message with its cluster, sender and the sender's life, recipient, and a number that increases.
 
-    sole: the sender's folder proves that no earlier life of it runs.
+    sole: the sender's state folder proves that no earlier life of it is running.
     """
 
     cluster: str
     sender: str
     life: int
-    to: str
+    recipient: str = msgspec.field(name="to")
     number: int
     message: Message = msgspec.field(name="word")
     sole: bool = False
 
 
-_read, _write = msgspec.msgpack.Decoder(Envelope), msgspec.msgpack.Encoder()
+_decoder, _encoder = msgspec.msgpack.Decoder(Envelope), msgspec.msgpack.Encoder()
 
 
 def encode(envelope: Envelope) -> bytes:
-    return _write.encode(envelope)
+    return _encoder.encode(envelope)
 
 
 def decode(body: bytes) -> Envelope:
-    """Raises BadMessage for anything that is no envelope."""
+    """Raises BadMessage for anything that is not an envelope."""
     try:
-        return _read.decode(body)
+        return _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, OverflowError) as problem:
         raise BadMessage(str(problem)) from None
--- a/ryestack/peers/roles.py
+++ b/ryestack/peers/roles.py
@@ -1,12 +1,12 @@
-"""What a member of a shard's group is, and what makes it another: follower, candidate, leader. Pure."""
+"""State machine of a shard's group member: follower, candidate, leader. Pure."""
 
-# (states, input, next state, effect); what is not listed changes nothing.
+# (states, input, next state, method of Shard to call); other combinations change nothing.
 ROWS = (
-    ("follower", "nobody acts", "candidate", "ask"),
-    ("candidate", "a majority", "leader", "take_up"),
-    ("candidate", "too few in time", "follower", "wait_longer"),
-    ("follower candidate leader", "a higher epoch", "follower", "step_down"),
-    ("candidate", "another holds", "follower", None),
-    ("leader", "all is over", "follower", "step_down"),
+    ("follower", "no leader", "candidate", "request_votes"),
+    ("candidate", "majority granted", "leader", "become_leader"),
+    ("candidate", "election failed", "follower", "back_off"),
+    ("follower candidate leader", "higher epoch", "follower", "step_down"),
+    ("candidate", "other leader", "follower", None),
+    ("leader", "nothing owed", "follower", "step_down"),
 )
-TABLE = {(state, heard): (to, do) for states, heard, to, do in ROWS for state in states.split()}
+TABLE = {(state, cause): (to, effect) for states, cause, to, effect in ROWS for state in states.split()}
--- a/ryestack/peers/shard.py
+++ b/ryestack/peers/shard.py
@@ -1,195 +1,192 @@
-"""One shard as one member of its group has it: who may act on what an owner took. Pure.
+"""One shard as one member of its group holds it: who may act on the notifications an owner took. Pure.
 
-At most one member acts at a time: a leader acts within a lease that a majority granted, counted from when it
-asked; who granted votes for nobody else until the lease has run out by its own clock, and DRIFT more.
+At most one member acts at a time. A leader acts within a lease that a majority granted, counted from when it
+sent the request; a member that granted it votes for nobody else until the lease has expired by its own clock,
+and MAX_CLOCK_DRIFT longer. A position is covered once a majority holds all records up to it in this epoch.
 """
 
 from math import inf
 
 from .contents import Contents, Progress
-from .messages import Append, Appended, Record, ShardName, Vote, Voted
+from .messages import Append, AppendReply, Record, ShardName, VoteReply, VoteRequest
 from .roles import TABLE
 
-DRIFT = 0.02  # how far two clocks' rates may differ: machines of one kind stay under a thousandth
-BEATS = 4  # in a lease: two may be lost, and the third still comes in time
-RETRY = 0.25  # of a beat: no answer for so long, and the message counts as lost
-WEAK = 4  # leases: then members that may have forgotten count too, as two losses at once leave no others
-KEPT = 4096  # records that a leader keeps for members that lie behind; further behind they get the whole
+MAX_CLOCK_DRIFT = 0.02  # between two clocks' rates: machines of one kind stay under a thousandth
+HEARTBEATS_PER_LEASE = 4  # two may be lost, and the third still arrives in time
+RETRY = 0.25  # of a heartbeat interval without a reply, then a request counts as lost
+WEAK_MAJORITY_LEASES = 4  # then members that may have lost data count too: two losses leave no others
+MAX_LOG = 4096  # kept for members that lag; those that lag further get a snapshot
 
 
 class Shard:
-    """now is the relay's own clock, which never goes back; effects gather in `effects` as tuples."""
-
-    def __init__(self, name: ShardName, group: tuple, me: str, lease: float, chance, barred: float):
-        """barred: until when this member grants nothing, as it may have granted before a start and
-        forgotten."""
-        self.name, self.group, self.me, self.random = name, group, me, chance
-        self.lease, self.patience = lease, lease / BEATS
-        self.mine = False  # ours, and of this very life: then we grant it to nobody, so that a kill frees it
+    """The protocol of one member; `now` is the relay's monotonic clock. Effects: ("send", member, message);
+    ("acts",), ("lapsed",): it may act, or not for now; ("lost",): another leads; ("covered", position);
+    ("known",): the owner has received all that its shard can still hold."""
+
+    def __init__(self, name: ShardName, group: tuple, me: str, lease: float, rng, no_grant_until: float):
+        """no_grant_until: before a restart this member may have granted a lease that it has forgotten."""
+        self.name, self.group, self.me, self.rng = name, group, me, rng
+        self.lease, self.heartbeat = lease, lease / HEARTBEATS_PER_LEASE
+        self.is_own = False  # the shard of this very life: granted to nobody, so that a kill frees it
         self.others = {n: Progress() for n in group if n != me}
         self.majority = len(group) // 2 + 1
         self.state, self.epoch, self.at = "follower", 0, (0, 0)
         self.contents = Contents()
-        self.grant_until, self.leader = barred, ""
-        self.knows, self.first_ask = False, inf  # whether nothing of it may be forgotten; since when we ask
-        self.ask_at, self.tries, self.votes, self.asked, self.released = inf, 0, {}, 0, False
-        self.log, self.base, self.barrier, self.acting, self.told, self.seen = [], 0, 0, False, 0, 0
+        self.grant_end, self.leader = no_grant_until, ""
+        self.complete, self.asking_since = False, inf  # has lost no records; when it first asked for votes
+        self.vote_at, self.failures, self.votes, self.vote_epoch, self.released = inf, 0, {}, 0, False
+        self.log, self.log_start, self.barrier, self.acting, self.reported, self.seen = [], 0, 0, False, 0, 0
         self.effects, self.journal = [], []
 
     # -- inputs ---------------------------------------------------------------------------------------
 
     def open(self, now: float) -> None:
-        """The owner's own, at the start of a life: no other can know of it yet."""
-        self.state, self.epoch, self.at, self.mine = "leader", len(self.group), (len(self.group), 0), True
-        self.leader, self.knows = self.me, True
+        """The owner's own shard, at the start of a life: no other member can know of it yet."""
+        self.state, self.epoch, self.at, self.is_own = "leader", len(self.group), (len(self.group), 0), True
+        self.leader, self.complete = self.me, True
         self.tick(now)
 
     def claim(self, now: float, released: bool, journal: list[Record] = ()) -> None:
-        """The owner's next life wants it; released: its folder proves that the one before is over.
-
-        journal: what that folder has of it, which no replica may have; in the shard once it is taken up.
-        """
-        self.released, self.ask_at, self.seen, self.journal = released, now, len(self.group), list(journal)
-        self.grant_until = now if released else self.grant_until
-        self.knows = released  # the journal in that folder has all that was taken
+        """The owner's next life asks to lead. released: its state folder proves that the earlier one is over;
+        journal: that folder's records, which replicas may lack; they are added once this member leads."""
+        self.released, self.vote_at, self.seen, self.journal = released, now, len(self.group), list(journal)
+        self.grant_end = now if released else self.grant_end
+        self.complete = released  # the journal in that folder holds all that was taken
         self.tick(now)
 
     def write(self, now: float, records: list[Record]) -> int:
-        """The leader's facts; returns the position at which they are covered."""
+        """Appends the leader's records; returns the position at which they are covered."""
         self.contents.apply(records)
         self.log += records
         self.at = self.at[0], self.at[1] + len(records)
         self.send_all(now)
-        self.judge(now)
+        self.update_acting(now)
         return self.at[1]
 
     def tick(self, now: float) -> None:
+        """Runs the timers: heartbeats and lease of a leader, elections of the others."""
         if self.state == "leader":
             self.send_all(now)
-            self.judge(now)
-            if not self.mine and not self.contents.items and self.covered() == self.at[1] > self.barrier:
-                self.turn("all is over", now)  # whoever has more of it may ask
-        elif self.state == "candidate" and now >= self.ask_at:
-            self.turn("too few in time", now)
+            self.update_acting(now)
+            if not self.is_own and not self.contents.items and self.covered() == self.at[1] > self.barrier:
+                self.transition("nothing owed", now)  # a member that holds more may still ask to lead
+        elif self.state == "candidate" and now >= self.vote_at:
+            self.transition("election failed", now)
         elif (
-            self.state == "follower"
-            and now >= self.grant_until
-            and (self.contents.items or self.ask_at < inf)
+            self.state == "follower" and now >= self.grant_end and (self.contents.items or self.vote_at < inf)
         ):
-            if self.ask_at == inf:  # in turn, the first of the group soonest, and not in step
-                self.ask_at = now + self.patience * (self.group.index(self.me) + self.random.random())
-            if now >= self.ask_at:
-                self.turn("nobody acts", now)
+            if self.vote_at == inf:  # in group order, and randomized against simultaneous candidates
+                self.vote_at = now + self.heartbeat * (self.group.index(self.me) + self.rng.random())
+            if now >= self.vote_at:
+                self.transition("no leader", now)
 
     def is_wanted(self) -> bool:
-        """Whether there is work to go on with, or we mean to ask already."""
-        return bool(self.contents.items) or self.ask_at < inf
-
-    def on_append(self, now: float, sender: str, a: Append) -> Appended:
-        other = a.epoch > self.epoch and sender != self.leader  # grants to two leaders must not overlap
-        if a.epoch < self.epoch or (other and now < self.busy_until()) or a.epoch == self.asks_in():
-            return Appended(self.name, self.epoch, a.asked, False, self.at)
-        if a.epoch > self.epoch:
-            self.epoch = a.epoch
-            self.turn("a higher epoch", now)
-        self.turn("another holds", now)
-        self.leader, self.ask_at, self.tries, self.first_ask = sender, inf, 0, inf
-        if not self.mine:
-            self.grant_until = now + self.lease * (1.0 + DRIFT)
-        have = self.at[1] if self.at[0] == a.epoch else -1
-        if a.whole and have < a.base:
-            self.contents, self.at, have = Contents(a.records), (a.epoch, a.base), a.base
-            self.knows = True
-        elif not a.whole and a.base <= have:
-            fresh = a.records[have - a.base :]
-            self.contents.apply(fresh)
-            self.at = a.epoch, have + len(fresh)
-        if self.group[0] == self.me and a.settled and self.at[0] == a.epoch:
-            self.effects.append(("known",))  # what is ours and not in it is nobody else's
-        return Appended(self.name, self.epoch, a.asked, not self.mine, self.at)
-
-    def on_appended(self, now: float, sender: str, a: Appended) -> None:
+        """Whether notifications are owed here, or an election is scheduled."""
+        return bool(self.contents.items) or self.vote_at < inf
+
+    def on_append(self, now: float, sender: str, msg: Append) -> AppendReply:
+        newer = msg.epoch > self.epoch and sender != self.leader  # grants to two leaders must not overlap
+        if msg.epoch < self.epoch or (newer and now < self.free_at()) or msg.epoch == self.pending_epoch():
+            return AppendReply(self.name, self.epoch, msg.sent_at, False, self.at)
+        if msg.epoch > self.epoch:
+            self.epoch = msg.epoch
+            self.transition("higher epoch", now)
+        self.transition("other leader", now)
+        self.leader, self.vote_at, self.failures, self.asking_since = sender, inf, 0, inf
+        if not self.is_own:
+            self.grant_end = now + self.lease * (1.0 + MAX_CLOCK_DRIFT)
+        held = self.at[1] if self.at[0] == msg.epoch else -1
+        if msg.whole and held < msg.base:
+            self.contents, self.at, held = Contents(msg.records), (msg.epoch, msg.base), msg.base
+            self.complete = True
+        elif not msg.whole and msg.base <= held:
+            new = msg.records[held - msg.base :]
+            self.contents.apply(new)
+            self.at = msg.epoch, held + len(new)
+        if self.group[0] == self.me and msg.settled and self.at[0] == msg.epoch:
+            self.effects.append(("known",))  # work of the owner that is not in it is no other member's
+        return AppendReply(self.name, self.epoch, msg.sent_at, not self.is_own, self.at)
+
+    def on_append_reply(self, now: float, sender: str, msg: AppendReply) -> None:
         member = self.others[sender]
-        member.waits = (
-            member.waits and a.asked < member.sent
-        )  # a late answer to an older message starts no other
-        if a.epoch > self.epoch:
-            self.epoch = a.epoch
-            self.turn("a higher epoch", now)
-        if self.state == "leader" and a.epoch == self.epoch and a.granted:
-            if a.asked >= member.granted:  # the youngest message counts: one that has started anew has less
-                member.has = a.at[1] if a.at[0] == self.epoch else -1
-            member.granted = max(member.granted, a.asked)
+        # A late reply to an older request does not trigger another one.
+        member.in_flight = member.in_flight and msg.sent_at < member.sent_at
+        if msg.epoch > self.epoch:
+            self.epoch = msg.epoch
+            self.transition("higher epoch", now)
+        if self.state == "leader" and msg.epoch == self.epoch and msg.granted:
+            if msg.sent_at >= member.granted_at:  # the newest counts: a restarted member holds less
+                member.held = msg.position[1] if msg.position[0] == self.epoch else -1
+            member.granted_at = max(member.granted_at, msg.sent_at)
             self.tick(now)
 
-    def on_vote(self, now: float, v: Vote) -> Voted:
-        busy, highest = self.busy_until(), max(self.epoch, self.asks_in())
-        skips = v.released and self.epoch <= len(self.group)  # only the owner's own life can be so released
-        if self.mine or v.epoch <= highest or (now < busy and not skips):
-            return Voted(self.name, v.epoch, False, highest, max(0.0, busy - now))
-        self.grant_until = min(self.grant_until, now)
-        self.epoch = v.epoch
-        self.turn("a higher epoch", now)
-        self.ask_at = now + self.lease  # let who asked take it up
-        return Voted(self.name, v.epoch, True, v.epoch, 0.0, self.at, self.contents.snapshot(), self.knows)
-
-    def on_voted(self, now: float, sender: str, v: Voted) -> None:
-        if v.epoch != self.asks_in():
+    def on_vote_request(self, now: float, msg: VoteRequest) -> VoteReply:
+        free, highest = self.free_at(), max(self.epoch, self.pending_epoch())
+        skips = msg.released and self.epoch <= len(self.group)  # only the owner's first lease is released so
+        if self.is_own or msg.epoch <= highest or (now < free and not skips):
+            return VoteReply(self.name, msg.epoch, False, highest, max(0.0, free - now))
+        self.grant_end = min(self.grant_end, now)
+        self.epoch = msg.epoch
+        self.transition("higher epoch", now)
+        self.vote_at = now + self.lease  # leaves the candidate time to lead
+        return VoteReply(
+            self.name, msg.epoch, True, msg.epoch, 0.0, self.at, self.contents.snapshot(), self.complete
+        )
+
+    def on_vote_reply(self, now: float, sender: str, msg: VoteReply) -> None:
+        if msg.epoch != self.pending_epoch():
             return
-        if v.yes:
-            self.votes[sender] = v
-            # Who has started anew may have forgotten what it once covered: a majority that remembers is
-            # waited for.
-            remember = self.knows + sum(v.knows for v in self.votes.values())
-            late = now >= self.first_ask + WEAK * self.lease
-            if remember >= self.majority or (late and len(self.votes) + 1 >= self.majority):
-                self.turn("a majority", now)
-        elif v.highest >= self.asked:
-            self.seen = max(self.seen, v.highest)
-            self.turn("too few in time", now)
+        if msg.granted:
+            self.votes[sender] = msg
+            # A restarted member may have lost what it covered: a majority that has not is waited for.
+            full = self.complete + sum(v.complete for v in self.votes.values())
+            late = now >= self.asking_since + WEAK_MAJORITY_LEASES * self.lease
+            if full >= self.majority or (late and len(self.votes) + 1 >= self.majority):
+                self.transition("majority granted", now)
+        elif msg.highest >= self.vote_epoch:
+            self.seen = max(self.seen, msg.highest)
+            self.transition("election failed", now)
 
     # -- effects of the table ---------------------------------------------------------------------------
 
-    def turn(self, heard: str, now: float) -> None:
-        self.state, effect = TABLE.get((self.state, heard), (self.state, None))
+    def transition(self, cause: str, now: float) -> None:
+        self.state, effect = TABLE.get((self.state, cause), (self.state, None))
         if effect:
             getattr(self, effect)(now)
 
-    def ask(self, now: float) -> None:
-        """An epoch is a round and who asks in it: two members never ask for the same one.
-
-        It is ours only once a majority says yes: whoever asks in vain troubles no leader.
-        """
-        count, mine = len(self.group), self.group.index(self.me)
-        self.asked = (max(self.epoch, self.seen) // count + 1) * count + mine
-        self.votes, self.ask_at = {}, now + self.patience * 2.0
-        self.first_ask = min(self.first_ask, now)
+    def request_votes(self, now: float) -> None:
+        """An epoch encodes a round and the candidate: two members never ask for the same one. It takes effect
+        only once a majority grants it, so that a failed candidate does not disturb a leader."""
+        count, index = len(self.group), self.group.index(self.me)
+        self.vote_epoch = (max(self.epoch, self.seen) // count + 1) * count + index
+        self.votes, self.vote_at = {}, now + self.heartbeat * 2.0
+        self.asking_since = min(self.asking_since, now)
         if self.majority == 1:
-            return self.turn("a majority", now)
+            return self.transition("majority granted", now)
         for name in self.others:
-            self.effects.append(("send", name, Vote(self.name, self.asked, self.released)))
-
-    def wait_longer(self, now: float) -> None:
-        self.tries += 1
-        longest = min(2.0 ** min(self.tries, 8) * self.patience, 2.0 * self.lease)
-        self.ask_at = now + longest * self.random.uniform(0.3, 1.0)
-
-    def take_up(self, now: float) -> None:
-        """What was covered is with whoever is furthest: one writer an epoch, each from where the last
-        ended."""
-        best = max(self.votes.values(), key=lambda v: tuple(v.at), default=None)
-        if best is not None and tuple(best.at) > self.at:
-            self.contents, self.at = Contents(best.records), tuple(best.at)
+            self.effects.append(("send", name, VoteRequest(self.name, self.vote_epoch, self.released)))
+
+    def back_off(self, now: float) -> None:
+        self.failures += 1
+        longest = min(2.0 ** min(self.failures, 8) * self.heartbeat, 2.0 * self.lease)
+        self.vote_at = now + longest * self.rng.uniform(0.3, 1.0)
+
+    def become_leader(self, now: float) -> None:
+        """Continues from the member that is furthest: it holds all that was covered, as each epoch has one
+        writer, and each writer starts where the last one ended."""
+        best = max(self.votes.values(), key=lambda v: tuple(v.position), default=None)
+        if best is not None and tuple(best.position) > self.at:
+            self.contents, self.at = Contents(best.records), tuple(best.position)
         known = {*self.contents.items, *self.contents.finished}
         self.contents.apply([record for record in self.journal if record.id not in known])
         self.journal = []
-        self.log, self.base, self.ask_at, self.tries, self.told = [], self.at[1] + 1, inf, 0, 0
-        self.knows, self.first_ask = True, inf
-        self.epoch, self.at, self.leader = self.asked, (self.asked, self.at[1] + 1), self.me
-        self.barrier = self.at[1]  # it acts once all it took up is covered in its own epoch
+        self.log, self.log_start, self.vote_at, self.failures, self.reported = [], self.at[1] + 1, inf, 0, 0
+        self.complete, self.asking_since = True, inf
+        self.epoch, self.at, self.leader = self.vote_epoch, (self.vote_epoch, self.at[1] + 1), self.me
+        self.barrier = self.at[1]  # it acts once all that it took over is covered in its own epoch
         self.others = {name: Progress() for name in self.others}
         self.send_all(now)
-        self.judge(now)
+        self.update_acting(now)
 
     def step_down(self, now: float) -> None:
         if self.leader == self.me:
@@ -199,51 +196,54 @@
 
     # -- the leader's side ------------------------------------------------------------------------------
 
-    def asks_in(self) -> int:
-        return self.asked if self.state == "candidate" else 0
+    def pending_epoch(self) -> int:
+        return self.vote_epoch if self.state == "candidate" else 0
 
-    def busy_until(self) -> float:
-        """Until when our vote binds us to who acts now."""
-        return self.lease_end() if self.state == "leader" else self.grant_until
+    def free_at(self) -> float:
+        """When the lease that this member holds or has granted ends: until then it votes for nobody else."""
+        return self.lease_end() if self.state == "leader" else self.grant_end
 
     def acts_until(self) -> float:
-        """Looked at before each act: a pause may have outlasted the lease, and nothing has been heard of
-        it."""
+        """Checked before each action: a pause of the process may have outlasted the lease unnoticed."""
         return self.lease_end() if self.acting and self.state == "leader" else -inf
 
     def lease_end(self) -> float:
         if self.majority == 1:
             return inf
-        granted = sorted((m.granted for m in self.others.values()), reverse=True)
+        granted = sorted((m.granted_at for m in self.others.values()), reverse=True)
         return granted[self.majority - 2] + self.lease
 
     def covered(self) -> int:
+        """The last position that a majority holds."""
         if self.majority == 1:
             return self.at[1]
-        return min(self.at[1], sorted((m.has for m in self.others.values()), reverse=True)[self.majority - 2])
+        return min(
+            self.at[1], sorted((m.held for m in self.others.values()), reverse=True)[self.majority - 2]
+        )
 
-    def judge(self, now: float) -> None:
+    def update_acting(self, now: float) -> None:
         acting, covered = now < self.lease_end() and self.covered() >= self.barrier, self.covered()
         if acting != self.acting:
             self.acting = acting
             self.effects.append(("acts",) if acting else ("lapsed",))
-        if covered > self.told:
-            self.told = covered
+        if covered > self.reported:
+            self.reported = covered
             self.effects.append(("covered", covered))
 
     def send_all(self, now: float) -> None:
-        beat = self.lease / BEATS
-        for name, member in self.others.items():
-            lost = now >= member.sent + beat * (RETRY if now < member.granted + self.lease else 1.0)
-            if (member.has < self.at[1] and (not member.waits or lost)) or now >= member.sent + beat:
-                member.sent, member.waits = now, True
-                self.effects.append(("send", name, self.append_for(member, now)))
-        if len(self.log) > KEPT:
-            self.base, self.log = self.base + len(self.log) - KEPT, self.log[-KEPT:]
+        """Sends each member what it lacks, or a heartbeat that is due."""
+        beat = self.lease / HEARTBEATS_PER_LEASE
+        for name, peer in self.others.items():
+            lost = now >= peer.sent_at + beat * (RETRY if now < peer.granted_at + self.lease else 1.0)
+            if (peer.held < self.at[1] and (not peer.in_flight or lost)) or now >= peer.sent_at + beat:
+                peer.sent_at, peer.in_flight = now, True
+                self.effects.append(("send", name, self.append_for(peer, now)))
+        if len(self.log) > MAX_LOG:
+            self.log_start, self.log = self.log_start + len(self.log) - MAX_LOG, self.log[-MAX_LOG:]
 
     def append_for(self, member: Progress, now: float) -> Append:
         settled = self.covered() >= self.barrier
-        whole = member.has < self.base
-        base = self.at[1] if whole else member.has
-        records = self.contents.snapshot() if whole else self.log[member.has - self.base :]
+        whole = member.held < self.log_start
+        base = self.at[1] if whole else member.held
+        records = self.contents.snapshot() if whole else self.log[member.held - self.log_start :]
         return Append(self.name, self.epoch, now, base, records, whole, settled)
--- a/ryestack/peers/transport.py
+++ b/ryestack/peers/transport.py
@@ -1,7 +1,7 @@
-"""The sockets between relays: envelopes as bodies of POST /peers, an answer an envelope. It decides nothing.
+"""HTTP transport between relays: POST /peers with an envelope as body, the reply's body is an envelope.
 
-A envelope refused is a plain 4xx. To each peer only so many envelopes are out at once; the next ones are
-dropped and said again by the core, so that a slow peer slows nobody else and holds no memory.
+A refused envelope is answered with a plain 4xx. Requests in flight to each peer are limited; further ones are
+dropped, and the core sends them again, so that a slow peer neither delays other peers nor uses memory.
 """
 
 import asyncio
@@ -16,36 +16,42 @@
 from . import messages
 from .node import Refused
 
-QUIET = logging.getLogger("ryestack.peers")  # bad requests are answered; a traceback of each helps nobody
-QUIET.setLevel(logging.CRITICAL)
+# Suppresses aiohttp's log: malformed requests are answered, and a traceback for each is of no use.
+SILENT_LOGGER = logging.getLogger("ryestack.peers")
+SILENT_LOGGER.setLevel(logging.CRITICAL)
 PATH = "/peers"
-OUT = 4  # envelopes to a peer at once: a lost one must not hold up the next
-PATIENCE = 10.0  # seconds for an answer; what comes later is asked for again long before
-IDLE = 30.0  # seconds that a connection may stand unused
-MOST = 64  # connections of peers at once
+MAX_IN_FLIGHT = 4  # requests to a peer: a lost one must not block the next
+REQUEST_TIMEOUT_S = 10.0  # the core repeats a request long before
+IDLE_TIMEOUT_S = 30.0  # of a connection
+MAX_CONNECTIONS = 64  # from peers
 
 
 class PeerListener:
-    """Where peers' envelopes arrive. hear(envelope) -> its answer, or raises Refused."""
+    """Server for peers' envelopes. handle_request(envelope) returns the reply, or raises Refused."""
 
-    def __init__(self, at: tuple[str, int], hear):
-        self.address, self.hear, self.listener, self.sock = at, hear, None, None
+    def __init__(self, address: tuple[str, int], handle_request):
+        self.address, self.handle_request, self.listener, self.sock = address, handle_request, None, None
         self.server = web.Server(
-            self.handle, access_log=None, keepalive_timeout=IDLE, lingering_time=0.0, logger=QUIET
+            self.handle,
+            access_log=None,
+            keepalive_timeout=IDLE_TIMEOUT_S,
+            lingering_time=0.0,
+            logger=SILENT_LOGGER,
         )
 
     def bind(self) -> None:
-        """Raises OSError where the address is in use."""
-        self.sock = socket.create_server(self.address, backlog=MOST)
+        """Binds the socket; raises OSError if the address is in use."""
+        self.sock = socket.create_server(self.address, backlog=MAX_CONNECTIONS)
 
     async def open(self) -> str:
+        """Starts to serve; returns the address as host:port."""
         self.listener = await asyncio.get_running_loop().create_server(self.accept, sock=self.sock)
         host, port = self.sock.getsockname()[:2]
         return f"{host}:{port}"
 
     def accept(self) -> asyncio.Protocol:
         connections = self.server.connections
-        if len(connections) >= MOST:
+        if len(connections) >= MAX_CONNECTIONS:
             connections[0].force_close()
         return self.server()
 
@@ -56,73 +62,74 @@
             return web.Response(status=405, headers={"Allow": "POST"})
         body = bytearray()
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 async for chunk in request.content.iter_any():
                     body += chunk
-                    if len(body) > messages.LONGEST:
-                        return _last(413)
-            return web.Response(body=messages.encode(self.hear(messages.decode(bytes(body)))))
+                    if len(body) > messages.MAX_MESSAGE_BYTES:
+                        return _closing(413)
+            return web.Response(body=messages.encode(self.handle_request(messages.decode(bytes(body)))))
         except messages.BadMessage:
             return web.Response(status=400, text="no letter\n")
-        except Refused as why:
-            return web.Response(status=409, text=f"{why}\n")
+        except Refused as reason:
+            return web.Response(status=409, text=f"{reason}\n")
         except TimeoutError:
-            return _last(408)
+            return _closing(408)
         except (OSError, aiohttp.ClientError, web.RequestPayloadError):
-            return _last(400)
+            return _closing(400)
 
     async def close(self) -> None:
         if self.listener:
             self.listener.close()
             for connection in list(self.server.connections):
-                connection.force_close()  # a peer keeps its own open for the next envelope
+                connection.force_close()  # peers keep connections open for their next envelope
             await self.server.shutdown(0.5)
         elif self.sock:
             self.sock.close()
 
 
 class PeerClient:
-    """Carries envelopes to peers."""
+    """Sends envelopes to peers."""
 
-    def __init__(self, addresses: dict[str, str], answered, refused):
-        """answered(envelope) is told each answer that is one, refused(why) each that turns one down."""
-        self.addresses, self.answered, self.refused = addresses, answered, refused
-        self.out, self.dropped = Counter(), 0
+    def __init__(self, addresses: dict[str, str], handle_reply, handle_refusal):
+        """handle_reply(envelope) is called with each valid reply, handle_refusal(why) with each refusal."""
+        self.addresses, self.handle_reply, self.handle_refusal = addresses, handle_reply, handle_refusal
+        self.in_flight, self.dropped = Counter(), 0
         self.tasks: set[asyncio.Task] = set()
-        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE * 0.9)
+        connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_TIMEOUT_S * 0.9)
         self.session = aiohttp.ClientSession(connector=connector, cookie_jar=aiohttp.DummyCookieJar())
 
     def send(self, to: str, envelope: messages.Envelope) -> None:
-        if self.out[to] >= OUT:
+        """Starts a request, or drops the envelope if too many are in flight to that peer."""
+        if self.in_flight[to] >= MAX_IN_FLIGHT:
             self.dropped += 1
             return
-        self.out[to] += 1
-        task = asyncio.ensure_future(self.ask(to, messages.encode(envelope)))
+        self.in_flight[to] += 1
+        task = asyncio.ensure_future(self.request(to, messages.encode(envelope)))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def ask(self, to: str, body: bytes) -> None:
+    async def request(self, to: str, body: bytes) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
-                said = await self.session.post(f"http://{self.addresses[to]}{PATH}", data=body)
-                async with said:  # a piece at a time: what a shard holds comes in many
-                    answer = bytearray()
-                    async for chunk in said.content.iter_any():
-                        answer += chunk
-                        if len(answer) > messages.LONGEST:
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                response = await self.session.post(f"http://{self.addresses[to]}{PATH}", data=body)
+                async with response:  # in chunks: the contents of a shard are many
+                    received = bytearray()
+                    async for chunk in response.content.iter_any():
+                        received += chunk
+                        if len(received) > messages.MAX_MESSAGE_BYTES:
                             raise messages.BadMessage("an answer without bounds")
-            if said.status == 200:
-                self.answered(messages.decode(bytes(answer)))
-            elif said.status == 409:
-                why = bytes(answer[:200]).decode(errors="replace").strip()
+            if response.status == 200:
+                self.handle_reply(messages.decode(bytes(received)))
+            elif response.status == 409:
+                why = bytes(received[:200]).decode(errors="replace").strip()
                 event("peer.refuses", peer=to, why=why)
-                self.refused(why)
+                self.handle_refusal(why)
         except messages.BadMessage as problem:
             event("peer.senseless", peer=to, why=str(problem))
         except (aiohttp.ClientError, OSError, TimeoutError):
-            pass  # a message lost: the core says it again
+            pass  # the message is lost: the core sends it again
         finally:
-            self.out[to] -= 1
+            self.in_flight[to] -= 1
 
     async def close(self) -> None:
         for task in self.tasks:
@@ -131,7 +138,8 @@
         await self.session.close()
 
 
-def _last(status: int) -> web.Response:
-    answer = web.Response(status=status)
-    answer.force_close()
-    return answer
+def _closing(status: int) -> web.Response:
+    """A response after which the connection is closed."""
+    response = web.Response(status=status)
+    response.force_close()
+    return response
--- a/tests/test_peers_promises.py
+++ b/tests/test_peers_promises.py
@@ -1,4 +1,4 @@
-"""What waits for guards: each row of the table, and a cluster that is told to refuse while it is alone."""
+"""Promises that wait for replicas: each row of the table, and a relay that reaches no replica."""
 
 import asyncio
 import itertools
@@ -10,16 +10,16 @@
 from ryestack.peers import promises
 
 
-def test_every_promise_has_an_end_for_every_way_its_cover_comes():
-    for what, how, alone in itertools.product(
+def test_every_promise_has_an_action_for_every_result():
+    for what, result, alone in itertools.product(
         ("hand-in", "push", "notice"), ("covered", "late"), ("serve", "refuse")
     ):
-        assert promises.action_for(what, how, alone)
-    assert all(do != "take" or how == "covered" for (_, how, _), do in promises.TABLE.items())
+        assert promises.action_for(what, result, alone)
+    assert all(action != "take" or result == "covered" for (_, result, _), action in promises.TABLE.items())
 
 
 @pytest.mark.parametrize("alone, status", [("serve", 202), ("refuse", 503)])
-def test_one_that_reaches_no_guard_serves_uncovered_or_refuses_with_a_time(tmp_path, alone, status):
+def test_a_relay_that_reaches_no_replica_serves_uncovered_or_refuses(tmp_path, alone, status):
     async def play():
         cluster = Cluster(tmp_path, 3, 3, alone)
         try:
@@ -35,10 +35,10 @@
             }
             address = cluster.relays["r0"].address
             session = aiohttp.ClientSession()
-            async with session, session.post(f"http://{address}/api", data=b"x", headers=headers) as said:
-                return said.status, said.headers.get("Retry-After")
+            async with session, session.post(f"http://{address}/api", data=b"x", headers=headers) as response:
+                return response.status, response.headers.get("Retry-After")
         finally:
             await cluster.close()
 
-    found, away = asyncio.run(play())
-    assert found == status and (away is not None) == (status == 503)
+    found, retry_after = asyncio.run(play())
+    assert found == status and (retry_after is not None) == (status == 503)
