--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -187,7 +187,7 @@
     def write(self, shard: Shard, records: list) -> int:
         if not self.acts(shard):
             return (
-                shard.at[1] + 1
+                shard.last[1] + 1
             )  # never covered as it stands: what is there is written anew when we act again
         return self.node.write(shard, records, self.now())
 
--- a/ryestack/peers/shard.py
+++ b/ryestack/peers/shard.py
@@ -30,7 +30,7 @@
         self.is_own = False  # the shard of this very life: granted to nobody, so that a kill frees it
         self.others = {n: Progress() for n in group if n != me}
         self.majority = len(group) // 2 + 1
-        self.state, self.epoch, self.at = "follower", 0, (0, 0)
+        self.state, self.epoch, self.last = "follower", 0, (0, 0)
         self.contents = Contents()
         self.grant_end, self.leader = no_grant_until, ""
         self.complete, self.asking_since = False, inf  # has lost no records; when it first asked for votes
@@ -42,7 +42,7 @@
 
     def open(self, now: float) -> None:
         """The owner's own shard, at the start of a life: no other member can know of it yet."""
-        self.state, self.epoch, self.at, self.is_own = "leader", len(self.group), (len(self.group), 0), True
+        self.state, self.epoch, self.last, self.is_own = "leader", len(self.group), (len(self.group), 0), True
         self.leader, self.complete = self.me, True
         self.tick(now)
 
@@ -58,17 +58,17 @@
         """Appends the leader's records; returns the position at which they are covered."""
         self.contents.apply(records)
         self.log += records
-        self.at = self.at[0], self.at[1] + len(records)
+        self.last = self.last[0], self.last[1] + len(records)
         self.send_all(now)
         self.update_acting(now)
-        return self.at[1]
+        return self.last[1]
 
     def tick(self, now: float) -> None:
         """Runs the timers: heartbeats and lease of a leader, elections of the others."""
         if self.state == "leader":
             self.send_all(now)
             self.update_acting(now)
-            if not self.is_own and not self.contents.items and self.covered() == self.at[1] > self.barrier:
+            if not self.is_own and not self.contents.items and self.covered() == self.last[1] > self.barrier:
                 self.transition("nothing owed", now)  # a member that holds more may still ask to lead
         elif self.state == "candidate" and now >= self.vote_at:
             self.transition("election failed", now)
@@ -87,7 +87,7 @@
     def on_append(self, now: float, sender: str, msg: Append) -> AppendReply:
         newer = msg.epoch > self.epoch and sender != self.leader  # grants to two leaders must not overlap
         if msg.epoch < self.epoch or (newer and now < self.free_at()) or msg.epoch == self.pending_epoch():
-            return AppendReply(self.name, self.epoch, msg.sent_at, False, self.at)
+            return AppendReply(self.name, self.epoch, msg.sent_at, False, self.last)
         if msg.epoch > self.epoch:
             self.epoch = msg.epoch
             self.transition("higher epoch", now)
@@ -95,17 +95,17 @@
         self.leader, self.vote_at, self.failures, self.asking_since = sender, inf, 0, inf
         if not self.is_own:
             self.grant_end = now + self.lease * (1.0 + MAX_CLOCK_DRIFT)
-        held = self.at[1] if self.at[0] == msg.epoch else -1
+        held = self.last[1] if self.last[0] == msg.epoch else -1
         if msg.whole and held < msg.base:
-            self.contents, self.at, held = Contents(msg.records), (msg.epoch, msg.base), msg.base
+            self.contents, self.last, held = Contents(msg.records), (msg.epoch, msg.base), msg.base
             self.complete = True
         elif not msg.whole and msg.base <= held:
             new = msg.records[held - msg.base :]
             self.contents.apply(new)
-            self.at = msg.epoch, held + len(new)
-        if self.group[0] == self.me and msg.settled and self.at[0] == msg.epoch:
+            self.last = msg.epoch, held + len(new)
+        if self.group[0] == self.me and msg.settled and self.last[0] == msg.epoch:
             self.effects.append(("known",))  # work of the owner that is not in it is no other member's
-        return AppendReply(self.name, self.epoch, msg.sent_at, not self.is_own, self.at)
+        return AppendReply(self.name, self.epoch, msg.sent_at, not self.is_own, self.last)
 
     def on_append_reply(self, now: float, sender: str, msg: AppendReply) -> None:
         member = self.others[sender]
@@ -130,7 +130,7 @@
         self.transition("higher epoch", now)
         self.vote_at = now + self.lease  # leaves the candidate time to lead
         return VoteReply(
-            self.name, msg.epoch, True, msg.epoch, 0.0, self.at, self.contents.snapshot(), self.complete
+            self.name, msg.epoch, True, msg.epoch, 0.0, self.last, self.contents.snapshot(), self.complete
         )
 
     def on_vote_reply(self, now: float, sender: str, msg: VoteReply) -> None:
@@ -175,15 +175,15 @@
         """Continues from the member that is furthest: it holds all that was covered, as each epoch has one
         writer, and each writer starts where the last one ended."""
         best = max(self.votes.values(), key=lambda v: tuple(v.position), default=None)
-        if best is not None and tuple(best.position) > self.at:
-            self.contents, self.at = Contents(best.records), tuple(best.position)
+        if best is not None and tuple(best.position) > self.last:
+            self.contents, self.last = Contents(best.records), tuple(best.position)
         known = {*self.contents.items, *self.contents.finished}
         self.contents.apply([record for record in self.journal if record.id not in known])
         self.journal = []
-        self.log, self.log_start, self.vote_at, self.failures, self.reported = [], self.at[1] + 1, inf, 0, 0
+        self.log, self.log_start, self.vote_at, self.failures, self.reported = [], self.last[1] + 1, inf, 0, 0
         self.complete, self.asking_since = True, inf
-        self.epoch, self.at, self.leader = self.vote_epoch, (self.vote_epoch, self.at[1] + 1), self.me
-        self.barrier = self.at[1]  # it acts once all that it took over is covered in its own epoch
+        self.epoch, self.last, self.leader = self.vote_epoch, (self.vote_epoch, self.last[1] + 1), self.me
+        self.barrier = self.last[1]  # it acts once all that it took over is covered in its own epoch
         self.others = {name: Progress() for name in self.others}
         self.send_all(now)
         self.update_acting(now)
@@ -216,9 +216,9 @@
     def covered(self) -> int:
         """The last position that a majority holds."""
         if self.majority == 1:
-            return self.at[1]
+            return self.last[1]
         return min(
-            self.at[1], sorted((m.held for m in self.others.values()), reverse=True)[self.majority - 2]
+            self.last[1], sorted((m.held for m in self.others.values()), reverse=True)[self.majority - 2]
         )
 
     def update_acting(self, now: float) -> None:
@@ -235,7 +235,7 @@
         beat = self.lease / HEARTBEATS_PER_LEASE
         for name, peer in self.others.items():
             lost = now >= peer.sent_at + beat * (RETRY if now < peer.granted_at + self.lease else 1.0)
-            if (peer.held < self.at[1] and (not peer.in_flight or lost)) or now >= peer.sent_at + beat:
+            if (peer.held < self.last[1] and (not peer.in_flight or lost)) or now >= peer.sent_at + beat:
                 peer.sent_at, peer.in_flight = now, True
                 self.effects.append(("send", name, self.append_for(peer, now)))
         if len(self.log) > MAX_LOG:
@@ -244,6 +244,6 @@
     def append_for(self, member: Progress, now: float) -> Append:
         settled = self.covered() >= self.barrier
         whole = member.held < self.log_start
-        base = self.at[1] if whole else member.held
+        base = self.last[1] if whole else member.held
         records = self.contents.snapshot() if whole else self.log[member.held - self.log_start :]
         return Append(self.name, self.epoch, now, base, records, whole, settled)
--- a/tests/test_peers_explored.py
+++ b/tests/test_peers_explored.py
@@ -67,9 +67,9 @@
 
     def key(self):
         parts = [
-            (s.state, s.epoch, s.at, tuple(s.contents.items), s.grant_end, s.vote_at, s.vote_epoch, s.acting,
-            s.barrier, tuple(sorted(s.votes)), tuple((m.held, m.granted_at, m.sent_at, m.in_flight) for m in
-            s.others.values())) for s in self.shards.values()
+            (s.state, s.epoch, s.last, tuple(s.contents.items), s.grant_end, s.vote_at, s.vote_epoch,
+            s.acting, s.barrier, tuple(sorted(s.votes)), tuple((m.held, m.granted_at, m.sent_at, m.in_flight)
+            for m in s.others.values())) for s in self.shards.values()
         ]  # fmt: skip
         return repr((self.now, self.in_flight, self.stopped, self.taken, self.promised, self.lives, parts))
 
--- a/tests/test_peers_seat.py
+++ b/tests/test_peers_seat.py
@@ -161,7 +161,7 @@
 
 class NoCover(Shard):
     def covered(self):
-        return self.at[1]
+        return self.last[1]
 
 
 def paused(shard_class, seed):
