--- a/ryestack/observe/__init__.py
+++ b/ryestack/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What a relay tells of itself: a registry of events, and the structured log that writes them."""
+"""Observability of a relay: the registry of log events, the structured log, and the metrics."""
--- a/ryestack/observe/figures.py
+++ b/ryestack/observe/figures.py
@@ -1,6 +1,6 @@
-"""The figures that on-call staff and their collectors read, in the Prometheus text format (version 0.0.4).
+"""Metrics in the Prometheus text format (version 0.0.4), for on-call staff and collectors.
 
-Counters are kept where the thing happens; here they are only read and written down when somebody asks.
+Counters are kept by the modules that they belong to; this module formats them on request.
 """
 
 from collections import Counter
@@ -8,7 +8,7 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "lb_"
-# How a notification ended -> the operators' word.
+# Outcome of a notification -> value of the label `outcome`, in the operators' terms.
 OUTCOMES = {"delivered": "passed", "throttled": "dropped", "expired": "bad_gateway"}
 FIGURES = (  # name, type, meaning
     ("upstream_tries_total", "counter", "messages written whole to endpoints"),
--- a/ryestack/observe/registry.py
+++ b/ryestack/observe/registry.py
@@ -1,6 +1,6 @@
-"""Every event that a relay's log may hold: its level, fields, meaning and what a person does about it.
+"""Registry of all log events: level, fields, meaning, and what on-call staff do about them.
 
-The first table of docs/oncall.md is made from this (`observe.pages`).
+The first table of docs/oncall.md is generated from it (`observe.pages`).
 """
 
 from dataclasses import dataclass
@@ -10,20 +10,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """fields: the names of what is told with it, in order; about: the field by which equal lines are held
-    back where they repeat, "*" if all of the event are alike, "" if each is written."""
+    """fields: names of the log fields, in order; repeat_key: the field by which repeated lines are recognized
+    and suppressed, "*" if all lines of the event count as repeated, "" if each is written."""
 
     name: str
     level: str
     fields: tuple[str, ...]
     meaning: str
     todo: str = "nothing"
-    about: str = ""
+    repeat_key: str = ""
 
 
 def _events(*rows: tuple) -> dict[str, Event]:
-    made = [Event(name, level, tuple(fields.split()), *rest) for name, level, fields, *rest in rows]
-    return {e.name: e for e in made}
+    events = [Event(name, level, tuple(fields.split()), *rest) for name, level, fields, *rest in rows]
+    return {event.name: event for event in events}
 
 
 EVENTS = _events(
@@ -32,212 +32,219 @@
         "call.fault",
         "ERROR",
         "endpoint",
-        "a call failed in this program, with its traceback; its notification may have run",
-        "keep the log and the folder, and tell the maintainers",
+        "a call to an endpoint failed by a bug of the relay (with traceback); its notification may have run",
+        "keep the log and the state folder, and report it to the maintainers",
         "endpoint",
     ),
     (
         "config.kept",
         "WARNING",
         "why",
-        "a reread found a file that cannot be used; the old one stays",
-        "correct it, send SIGHUP again",
+        "a configuration reload found an unusable file; the old configuration stays in force",
+        "correct the file and send SIGHUP again",
         "*",
     ),
     (
         "config.later",
         "WARNING",
         "keys",
-        "what else has changed holds from the next start",
-        "restart when it suits",
+        "a configuration reload changed keys that take effect only at the next start",
+        "restart the relay when convenient",
     ),
     *registry_control.CONTROL_ROWS,
     (
         "ends.blocked",
         "WARNING",
         "why",
-        "final answers are not taken; they are kept and tried again, also after a restart",
-        "the platform, or the file of `ends.path`; `owed` grows meanwhile",
+        "final answers are not accepted; they are kept and retried, also after a restart",
+        "check the platform, or the file of `ends.path`; `owed` grows meanwhile",
         "*",
     ),
-    ("ends.flowing", "INFO", "", "final answers are taken again"),
+    ("ends.flowing", "INFO", "", "final answers are accepted again"),
     (
         "front.full",
         "DEBUG",
         "bound",
-        "a connection past the bound was answered 503 or closed: none of those there is idle",
-        "more relays, or more descriptors",
+        "a client connection beyond the limit was answered 503 or closed: no open connection is idle",
+        "add relays, or raise the limit of file descriptors",
         "*",
     ),
-    ("front.stale", "DEBUG", "waited", "a hand-in that its client had given up was answered 503 unparsed"),
+    ("front.stale", "DEBUG", "waited", "a hand-in whose client had given up was answered 503 unparsed"),
     (
         "journal.adopted",
         "INFO",
         "file owed",
-        "what a process that is gone left in a file of its own is this one's now",
+        "this process took over the journal file of a process that has ended",
     ),
     *registry_machine.MACHINE_ROWS,
     (
         "journal.blocked",
         "ERROR",
         "why",
-        "the journal cannot be written; nothing new is taken or pushed, what is out goes on",
+        "the journal cannot be written; nothing new is accepted or pushed, pushes in flight continue",
         "free space in the state folder at once: a restart now would lose what could not be written",
         "*",
     ),
-    ("journal.flowing", "INFO", "", "the journal is written again"),
+    ("journal.flowing", "INFO", "", "the journal can be written again"),
     (
         "journal.torn",
         "WARNING",
         "records bytes",
-        "records that make no sense, or torn bytes at the end, were dropped at the start",
-        "nothing after a kill: the client of a torn record got no answer; without one, the disk",
+        "invalid records, or a torn record at the end of the journal, were dropped at the start",
+        "nothing after a kill: the client of a torn record got no answer; without a kill, check the disk",
     ),
     (
         "list.blocked",
         "WARNING",
         "why",
-        "the registry does not answer; the old list holds",
-        "the registry; drains are learnt late meanwhile",
+        "the registry does not answer; the old endpoint list stays in force",
+        "check the registry; drains are noticed late meanwhile",
         "*",
     ),
-    ("list.changed", "INFO", "version entries whole", "the registry told a change", "nothing", "*"),
-    ("heir.serves", "INFO", "", "the process after this one serves clients; a stop now hands them over"),
-    ("kin.gone", "INFO", "", "the other process of this relay is gone; what it still owed is taken over"),
-    ("line.broken", "WARNING", "why", "the line to the other process of an upgrade broke off", "its log"),
+    ("list.changed", "INFO", "version entries whole", "the registry reported a change", "nothing", "*"),
+    ("heir.serves", "INFO", "", "the successor process serves clients; a stop now hands them over"),
+    ("kin.gone", "INFO", "", "the other process of this relay has ended; what it still owed is taken over"),
+    ("line.broken", "WARNING", "why", "the connection to the other process of an upgrade broke", "its log"),
     (
         "line.none",
         "WARNING",
         "why",
-        "no line for an upgrade could be opened: one would work by the journal's lock and a shared port only",
-        "the state folder's file system",
+        "the socket for upgrades could not be opened: one would use the journal lock and a shared port only",
+        "check the state folder's file system",
     ),
     ("list.flowing", "INFO", "", "the registry answers again"),
     (
         "list.row_bad",
         "WARNING",
         "version why",
-        "an entry of the list cannot be read and was passed over; the others hold",
-        "the registry's data",
+        "an entry of the endpoint list is invalid and was skipped; the others are in force",
+        "correct the registry's data",
         "*",
     ),
     (
         "log.repeated",
         "INFO",
         "of count",
-        "so many more lines of that event were held back in the period that is over",
+        "`count` more lines of that event were suppressed in the last period",
         "as for that event",
     ),
     (
         "phase.changed",
         "INFO",
         "phase why",
-        "the relay's life has gone on; after `settled` nothing is owed, after `time is short` the rest is "
-        "for the next start with this folder",
+        "the relay entered another phase; after `settled` nothing is owed, after `time is short` the rest is "
+        "left to the next start with this folder",
         "after a planned stop: start it again with the same folder",
     ),
     (
         "ntf.taken",
         "DEBUG",
         "id destination topic pushes",
-        "a notification is taken, or goes on by its history after a start",
+        "a notification was accepted, or is resumed from its history after a start",
     ),
-    ("ntf.ended", "DEBUG", "id how after", "a notification that is not delivered got its final answer"),
-    ("platform.moved", "INFO", "address", "watch and notices have moved to this address"),
+    ("ntf.ended", "DEBUG", "id how after", "a notification that was not delivered got its final answer"),
+    ("platform.moved", "INFO", "address", "the watch of the registry and the notices now use this address"),
     (
         "staff.open",
         "INFO",
         "address",
-        "staff are answered at this address: /-/ready, /-/metrics, drain, resume",
+        "the staff endpoints are served at this address: /-/ready, /-/metrics, drain, resume",
     ),
     (
         "peer.changed",
         "WARNING",
         "peer state",
-        "another relay is there, quiet for a lease, gone (ten leases), or left",
-        "quiet or gone: look after that relay; its work goes on with its guards",
+        "another relay is there, quiet (silent for a lease), gone (for ten leases), or left",
+        "quiet or gone: check that relay; its guards continue its work",
         "peer",
     ),
     (
         "peer.refuses",
         "WARNING",
         "peer why",
-        "another relay turns our words down; nothing has changed by them",
-        "the same `peers` everywhere, each name once",
+        "another relay refuses messages of this one; they have no effect",
+        "use the same `peers` at all relays, each name once",
+        "peer",
+    ),
+    (
+        "peer.senseless",
+        "WARNING",
+        "peer why",
+        "its reply is invalid",
+        "check its version and address",
         "peer",
     ),
-    ("peer.senseless", "WARNING", "peer why", "its answer is no word", "its version, its address", "peer"),
     (
         "relay.ended",
         "ERROR",
         "why",
-        "the process ends with status 1: its address is in use, or its folder cannot be written",
-        "as it says",
+        "the process ends with status 1: its address is in use, or its state folder cannot be written",
+        "as `why` says",
     ),
     (
         "relay.fault",
         "CRITICAL",
         "",
-        "the process ends with status 1 by a fault of its own; what is owed is in the folder",
-        "start it again; if it ends so each time, move the folder aside (`ryestack journal show` tells what "
-        "is owed there) and tell the maintainers",
+        "the process ends with status 1 because of a bug; what is owed is in the state folder",
+        "start it again; if it ends like this each time, move the folder aside (`ryestack journal show` "
+        "lists what is owed there) and report it to the maintainers",
     ),
     (
         "relay.recovered",
         "INFO",
         "owed notices",
-        "what the lives before left: so many go on by their history, so many ends are told again",
-        "a high number after each start: look why it is killed",
+        "left by earlier starts: `owed` notifications are resumed, `notices` final answers are sent again",
+        "a high number after each start: find out why the relay is killed",
     ),
     (
         "settings.changed",
         "INFO",
         "topics",
-        "a reread file holds from here on; open notifications keep the rules they were taken under",
+        "a reloaded configuration is in force; open notifications keep the rules they were accepted under",
     ),
     (
         "relay.summary",
         "INFO",
         "counts owed out clients journal cpu memory control_version control_age_seconds control_rejected",
-        "figures since the start: pushes by how they ended, notifications taken, throttled, expired, turned "
-        "away; owed now, pushes out, clients connected, journal bytes, CPU seconds, most memory in MB",
-        "the table of troubles; `owed` and `memory` must not grow without end",
+        "counts since the start: pushes by result, notifications accepted, throttled, expired, refused; "
+        "owed now, pushes in flight, clients connected, journal bytes, CPU seconds, maximum memory in MB",
+        "see the table of troubles; `owed` and `memory` must not grow without limit",
     ),
     (
         "route.closed",
         "INFO",
         "route destination",
-        "its circuit is closed: it is used as usual",
+        "the route's circuit is closed: it is used as usual",
         "nothing",
         "route",
     ),
-    ("route.drained", "INFO", "route destination", "it drains: it gets nothing new", "nothing", "route"),
+    ("route.drained", "INFO", "route destination", "it drains: no new pushes", "nothing", "route"),
     (
         "route.opened",
         "WARNING",
         "route destination why",
-        "its circuit is open: it rests, then one trial",
-        "the table of troubles",
+        "the route's circuit is open: no pushes for a while, then one trial",
+        "see the table of troubles",
         "route",
     ),
     (
         "seat.acts",
         "INFO",
         "seat life owed epoch",
-        "this relay may act on what that life of that relay took; owed: how many it goes on with",
+        "this relay may act on what that life of that relay accepted; `owed`: notifications it continues",
     ),
     (
         "seat.lapsed",
         "WARNING",
         "seat life",
-        "too few guards in reach: what is guarded stands still until they are back",
-        "the links to its guards",
+        "too few guards in reach: guarded notifications wait until they are back",
+        "check the links to its guards",
     ),
     (
         "seat.lost",
         "WARNING",
         "seat life epoch",
-        "another relay goes on with that work",
-        "why this one was silent for a lease: a pause, a cut link",
+        "another relay continues that work",
+        "find out why this relay was silent for a lease: a pause, a cut link",
     ),
 )
--- a/ryestack/observe/registry_control.py
+++ b/ryestack/observe/registry_control.py
@@ -1,4 +1,4 @@
-"""The events of relays that have control machines: rows of the registry, in its form."""
+"""Rows of the event registry for relays that use control machines."""
 
 CONTROL_ROWS = (
     (
@@ -13,8 +13,8 @@
         "control.blocked",
         "WARNING",
         "why",
-        "a control machine gave no answer that can be used; the next is asked, and what is in force stays",
-        "that machine, if it goes on; `control_age_seconds` tells how old what is in force is",
+        "a control machine gave no usable answer; the next one is asked, the version in force stays",
+        "check that machine if it continues; `control_age_seconds` is the age of the version in force",
         "*",
     ),
     ("control.flowing", "INFO", "", "a control machine answers again"),
@@ -22,17 +22,17 @@
         "control.rejected",
         "WARNING",
         "key why",
-        "a newer version has a value that this relay cannot use; it stays whole on the one before",
-        "change that key again",
+        "a newer version has a value that this relay cannot use; the relay keeps the whole previous version",
+        "correct the value of that key",
         "key",
     ),
     (
         "control.unsaved",
         "WARNING",
         "most",
-        "what is in force is not kept for the next start, which will need a control machine: it is too large "
-        "for its part of the folder, or the folder cannot be written",
-        "more disk in the configuration, or free space",
+        "the version in force could not be saved, so the next start will need a control machine: it is too "
+        "large for its share of the state folder, or the folder cannot be written",
+        "raise `disk` in the configuration, or free space",
         "*",
     ),
 )
--- a/ryestack/observe/registry_faults.py
+++ b/ryestack/observe/registry_faults.py
@@ -1,50 +1,50 @@
-"""The events of hand-ins, pushes and connections one by one, of faults, and of the rules' checks."""
+"""Rows of the event registry for single hand-ins, pushes and connections, faults, and invariant checks."""
 
 FAULT_ROWS = (
     (
         "accept.failed",
         "WARNING",
         "why",
-        "the system had no room for a connection or the listening socket for a moment; it is tried again",
-        "descriptors and memory of the machine, if it goes on",
+        "the system lacked resources to accept a connection or open the listening socket; it is retried",
+        "check the machine's file descriptors and memory if it continues",
         "why",
     ),
     (
         "loop.error",
         "ERROR",
         "why",
-        "a fault in a callback of the event loop, with its traceback; what it was for may not have happened",
-        "keep the log, and tell the maintainers",
+        "a callback of the event loop failed (with traceback); what it was to do may not have happened",
+        "keep the log, and report it to the maintainers",
     ),
     (
         "loop.broken",
         "DEBUG",
         "why",
-        "a connection broke in the library's hands, where nothing of ours waited for it",
+        "a connection broke inside the HTTP library, where no code of the relay waited for it",
     ),
     (
         "invariant.violated",
         "ERROR",
         "rule id route",
-        "a decided push or end would have broken a rule of delivery, by what is written and told: it was not "
-        "done; or a client's request was read and its connection ended with no answer",
-        "keep the log and the folder, and tell the maintainers",
+        "a push or final answer would have violated a delivery rule, by what is recorded and sent: it was "
+        "not made; or a client's request was read and its connection ended without an answer",
+        "keep the log and the state folder, and report it to the maintainers",
         "rule",
     ),
     (
         "push.began",
         "DEBUG",
         "id push route destination after",
-        "a push was handed to the dispatcher; after: how the one before ended",
+        "a push was handed to the dispatcher; `after`: how the previous push ended",
     ),
     (
         "push.ended",
         "DEBUG",
         "id push route result elapsed wait limit left",
-        "how a push ended, and what its answer told of waits and limits",
+        "how a push ended, and what its answer reported about waits and limits",
     ),
-    ("push.unsent", "DEBUG", "id route why", "a push that was decided was not started"),
-    ("request.refused", "DEBUG", "id why", "a hand-in was not taken on"),
-    ("client.closed", "DEBUG", "why requests", "a client's connection ended; requests: that it had brought"),
+    ("push.unsent", "DEBUG", "id route why", "a scheduled push was not started"),
+    ("request.refused", "DEBUG", "id why", "a hand-in was refused"),
+    ("client.closed", "DEBUG", "why requests", "a client's connection ended; `requests`: received on it"),
     ("front.open", "INFO", "protocol address", "clients are served at this address"),
 )
