--- a/ryestack/operator/__init__.py
+++ b/ryestack/operator/__init__.py
@@ -1,1 +1,2 @@
-"""The operator file: what an installation may choose beside the platform's configuration, never instead."""
+"""The operator file: settings of an installation in addition to the platform's configuration. It never
+overrides that."""
--- a/ryestack/operator/checks.py
+++ b/ryestack/operator/checks.py
@@ -1,6 +1,6 @@
-"""Checks a table against msgspec Structs; tells all faults at once, each with its key and the nearest name.
+"""Validates a table against msgspec Structs and reports all faults, each with its key and the closest name.
 
-msgspec stops at the first fault, so each value is converted on its own.
+msgspec stops at the first fault, so each value is converted separately.
 """
 
 import difflib
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """line: 0 where none can be told. The text is one line."""
+    """One fault. where: a file, or the kind of source; line: 0 if unknown. Its text is one line."""
 
     where: str
     line: int
@@ -28,20 +28,21 @@
 
 
 def struct_of(kind) -> type[msgspec.Struct] | None:
+    """The Struct that a type is, also if annotated; None for other types."""
     if get_origin(kind) is Annotated:
         kind = get_args(kind)[0]
     return kind if isinstance(kind, type) and issubclass(kind, msgspec.Struct) else None
 
 
 def rows_of(kind) -> type[msgspec.Struct] | None:
-    """The Struct of which kind is a list, if it is one."""
+    """The Struct of the items if the type is a list of Structs, else None."""
     if get_origin(kind) is Annotated:
         kind = get_args(kind)[0]
     return struct_of(get_args(kind)[0]) if get_origin(kind) in (list, tuple) else None
 
 
 def keys_of(schema: type[msgspec.Struct], prefix: str = "") -> dict[str, msgspec.structs.FieldInfo]:
-    """Dotted key to field, for all that is no table itself; lists of tables count as one key."""
+    """Fields by dotted key, without those that are tables; a list of tables counts as one key."""
     found = {}
     for field in msgspec.structs.fields(schema):
         inner, dotted = struct_of(field.type), prefix + field.encode_name
@@ -50,7 +51,7 @@
 
 
 def check(schema: type[msgspec.Struct], table: dict, known: list[str], prefix="") -> list[tuple[str, str]]:
-    """(dotted key, what is wrong) for each fault of table; known: the dotted keys there are."""
+    """(dotted key, problem) for each fault of table; known: all valid dotted keys, for suggestions."""
     faults, fields = [], {f.encode_name: f for f in msgspec.structs.fields(schema)}
     for name, value in table.items():
         dotted = f"{prefix}{name}"
@@ -70,19 +71,19 @@
                     faults += check(rows, row, below, f"{dotted}[{i}].")
                 else:
                     faults.append((f"{dotted}[{i}]", f"found {shown(row)}, must be a table"))
-        elif why := wrong(kind, value):
-            faults.append((dotted, why))
+        elif problem := problem_with(kind, value):
+            faults.append((dotted, problem))
     for name, field in fields.items():
         if field.required and name not in table:
             faults.append((f"{prefix}{name}", f"is missing, must be {allowed(field.type)}"))
     return faults
 
 
-def wrong(kind, value) -> str:
-    """What is wrong with one value, "" if nothing."""
-    whole = isinstance(value, int) and not isinstance(value, bool) and base(kind) is float
+def problem_with(kind, value) -> str:
+    """The problem with one value, "" if there is none."""
+    is_int_for_float = isinstance(value, int) and not isinstance(value, bool) and base(kind) is float
     try:
-        msgspec.convert(float(value) if whole else value, kind)
+        msgspec.convert(float(value) if is_int_for_float else value, kind)
     except (msgspec.ValidationError, OverflowError):
         return f"found {shown(value)}, must be {allowed(kind)}"
     if isinstance(value, float) and value != value:
@@ -91,11 +92,12 @@
 
 
 def base(kind):
+    """The type without its annotations."""
     return get_args(kind)[0] if get_origin(kind) is Annotated else kind
 
 
 def allowed(kind) -> str:
-    """What a key takes, in words."""
+    """Description of the values that a type allows."""
     meta = get_args(kind)[1] if get_origin(kind) is Annotated else None
     plain = base(kind)
     choices = get_args(plain)
@@ -103,42 +105,50 @@
         return " or ".join(allowed(c) for c in choices if c is not type(None))
     if choices and get_origin(plain) not in (list, tuple, dict):
         return "one of " + ", ".join(shown(c) for c in choices) if len(choices) > 1 else shown(choices[0])
-    names = {str: "a text", bool: "true or false", int: "a whole number", float: "a number", list: "a list"}
-    words = names.get(get_origin(plain) or plain, "a table")
+    type_names = {
+        str: "a text",
+        bool: "true or false",
+        int: "a whole number",
+        float: "a number",
+        list: "a list",
+    }
+    text = type_names.get(get_origin(plain) or plain, "a table")
     if meta and (meta.ge is not None or meta.gt is not None):
-        words += f" from {meta.ge:g}" if meta.ge is not None else f" above {meta.gt:g}"
+        text += f" from {meta.ge:g}" if meta.ge is not None else f" above {meta.gt:g}"
     if meta and meta.le is not None:
-        words += f" to {meta.le:g}"
+        text += f" to {meta.le:g}"
     if meta and meta.max_length is not None:
-        words += f" of {meta.max_length} characters at most"
-    return words
+        text += f" of {meta.max_length} characters at most"
+    return text
 
 
 def shown(value) -> str:
+    """A value as messages quote it: one line, 60 characters at most."""
     text = repr(value) if not isinstance(value, str) else '"' + value.encode("unicode_escape").decode() + '"'
     return text if len(text) <= 60 else text[:57] + "..."
 
 
 def nearest(name: str, known: list[str]) -> str:
+    """The end of a message that suggests the most similar known name, "" if none is similar."""
     found = difflib.get_close_matches(name, known, 1)
     return f"; the nearest is {found[0]}" if found else ""
 
 
 def line_of(text: str, dotted: str) -> int:
-    """The line of a dotted key in TOML text, 0 if it is not written plainly: the library tells none."""
-    target, at, section = dotted, 0, ""
-    seen: dict[str, int] = {}
+    """The line of a dotted key in TOML text, 0 if it is not found; tomllib reports no positions."""
+    target, found, section = dotted, 0, ""
+    indexes: dict[str, int] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if head := re.match(r"\s*\[(\[?)\s*([\w.\-]+)\s*\]", line):
             section = head[2]
             if head[1]:
-                seen[section] = seen.get(section, -1) + 1
-                section = f"{section}[{seen[section]}]"
+                indexes[section] = indexes.get(section, -1) + 1
+                section = f"{section}[{indexes[section]}]"
             if section == target:
                 return number
-            at = number if target.startswith(section + ".") else at
+            found = number if target.startswith(section + ".") else found
         elif key := re.match(r"\s*([\w.\-]+)\s*=", line):
             full = f"{section}.{key[1]}" if section else key[1]
             if full == target or target.startswith(full + "."):
                 return number
-    return at
+    return found
--- a/ryestack/operator/layers.py
+++ b/ryestack/operator/layers.py
@@ -1,6 +1,6 @@
-"""Layers of the operator's choices: defaults < file < RYESTACK_... environment < flags, each with its origin.
+"""Merges the layers of operator settings: defaults < file < RYESTACK_... environment variables < flags.
 
-Pure but for `read`, which opens the file it is given.
+The origin of each value is kept. Pure except for `read`, which opens the file.
 """
 
 import tomllib
@@ -12,11 +12,11 @@
 from .schema import FORMAT, Operator, rules
 
 PREFIX, FILE = "RYESTACK_", "RYESTACK_OPERATOR"
-MOST = 1024 * 1024  # bytes of a file: one written by people has a few thousand
+MAX_FILE_BYTES = 1024 * 1024  # a file written by people has a few thousand
 
 
 class BadOperator(Exception):
-    """Choices that cannot be used; faults holds all of them, the text a line each."""
+    """The settings are invalid. faults: all faults; the text has one line for each."""
 
     def __init__(self, faults: list[Fault]):
         super().__init__("\n".join(map(str, faults)))
@@ -25,21 +25,24 @@
 
 @dataclass(slots=True)
 class Chosen:
-    """The result, and where each value came from."""
+    """The merged settings, and the origin of each value."""
 
     values: Operator
-    origin: dict[str, str] = field(default_factory=dict)  # by dotted key: default, FILE:LINE, variable, flag
+    origin: dict[str, str] = field(
+        default_factory=dict
+    )  # dotted key -> default, FILE:LINE, environment NAME or flag
 
 
 def variable(dotted: str) -> str:
+    """The environment variable of a dotted key."""
     return PREFIX + dotted.upper().replace(".", "_")
 
 
 def choose(path: str | None = None, environ=None, flags: dict[str, str] | None = None) -> Chosen:
-    """The operator's choices from all layers.
+    """The settings from all layers.
 
-    path: the file, else the one that RYESTACK_OPERATOR names, else none; flags: dotted key to text. Raises
-    BadOperator with all faults of all layers.
+    path: the file, by default the one that RYESTACK_OPERATOR names, if any; flags: dotted key to text.
+    Raises BadOperator with all faults of all layers.
     """
     environ = environ or {}
     path = path or environ.get(FILE)
@@ -48,8 +51,8 @@
     table, origin, faults = {}, dict.fromkeys(known, "default"), []
     if path:
         table, text, faults = read(path)
-        for key, why in check(Operator, table, names):
-            faults.append(Fault(path, line_of(text, key), key, why))
+        for key, problem in check(Operator, table, names):
+            faults.append(Fault(path, line_of(text, key), key, problem))
         if not faults and "format" not in table:
             faults.append(Fault(path, 0, "format", f"is missing, must be {FORMAT}"))
         for key in known:
@@ -61,8 +64,8 @@
         if not name.startswith(PREFIX) or name == FILE:
             continue
         if name not in variables:
-            what = "is no such variable" + nearest(name, list(variables))
-            faults.append(Fault("environment", 0, name, what))
+            problem = "is no such variable" + nearest(name, list(variables))
+            faults.append(Fault("environment", 0, name, problem))
             continue
         faults += _put(table, variables[name], value, known, "environment", name)
         origin[variables[name]] = f"environment {name}"
@@ -75,26 +78,26 @@
     if faults:
         raise BadOperator(faults)
     values = msgspec.convert(table, Operator)
-    if broken := rules(values):
-        raise BadOperator([Fault(_of(origin[key], path), 0, key, why) for key, why in broken])
+    if violations := rules(values):
+        raise BadOperator([Fault(_source(origin[key], path), 0, key, problem) for key, problem in violations])
     return Chosen(values, origin)
 
 
 def read(path: str) -> tuple[dict, str, list[Fault]]:
-    """The file's table and text, and the faults that keep it from having one."""
+    """The file's table and text, and the faults that prevent reading it."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
-        if len(data) > MOST:
-            return {}, "", [Fault(path, 0, "", f"is larger than {MOST} bytes")]
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            return {}, "", [Fault(path, 0, "", f"is larger than {MAX_FILE_BYTES} bytes")]
         text = data.decode()
         return tomllib.loads(text), text, []
     except OSError as problem:
         return {}, "", [Fault(path, 0, "", problem.strerror or "cannot be read")]
     except UnicodeDecodeError as problem:
-        return {}, "", [Fault(path, 0, "", f"is no UTF-8 at byte {problem.start}")]
+        return {}, "", [Fault(path, 0, "", f"is not valid UTF-8 at byte {problem.start}")]
     except (tomllib.TOMLDecodeError, RecursionError, ValueError, OverflowError) as problem:
-        return {}, "", [Fault(path, 0, "", f"is no TOML: {_one_line(problem)}")]
+        return {}, "", [Fault(path, 0, "", f"is not valid TOML: {_one_line(problem)}")]
 
 
 def _one_line(problem: BaseException) -> str:
@@ -102,21 +105,22 @@
 
 
 def _put(table: dict, key: str, text: str, known: dict, where: str, name: str) -> list[Fault]:
-    """Set one key from a text; words for true, false and numbers are what TOML has."""
+    """Sets one key from a text; true, false and numbers are written as in TOML."""
     *sections, last = key.split(".")
     value = _value(text, known[key].type)
     if faults := check(_nested(sections), {last: value}, []):
-        return [Fault(where, 0, name, why) for _, why in faults]
+        return [Fault(where, 0, name, problem) for _, problem in faults]
     for section in sections:
         inner = table.setdefault(section, {})
         if not isinstance(inner, dict):
-            return []  # its fault is told already
+            return []  # already reported
         table = inner
     table[last] = value
     return []
 
 
 def _nested(sections: list[str]):
+    """The Struct of a table, by the names on the way to it."""
     schema = Operator
     for section in sections:
         schema = next(f.type for f in msgspec.structs.fields(schema) if f.encode_name == section)
@@ -127,9 +131,9 @@
     if base(kind) is str:
         return text
     if base(kind) in (int, float):
-        for read_as in (int, float):
+        for convert in (int, float):
             try:
-                return read_as(text)
+                return convert(text)
             except ValueError:
                 continue
     if base(kind) is bool:
@@ -145,5 +149,5 @@
     return True
 
 
-def _of(origin: str, path: str | None) -> str:
+def _source(origin: str, path: str | None) -> str:
     return path or "choices" if origin == "default" else origin
--- a/ryestack/operator/pages.py
+++ b/ryestack/operator/pages.py
@@ -1,4 +1,4 @@
-"""docs/configuration.md and a first operator file, from the Structs' own docs."""
+"""Generates docs/configuration.md and an initial operator file from the docstrings of the Structs."""
 
 import json
 from typing import get_args, get_origin
@@ -11,22 +11,22 @@
 
 HEAD = """# The operator file
 
-Made from `ryestack/operator/schema.py` by `make pages`; do not edit it here.
+Generated from `ryestack/operator/schema.py` by `make pages`; do not edit it here.
 
-A relay is told by its platform what it needs (`LB_CONFIG`, `LB_STATE`). What an installation chooses
-beside that stands in an operator file: TOML, named by `--operator` or `RYESTACK_OPERATOR`. Without one every
-key has its default, and what the platform forbids is off. No constant of a decision can be set.
+The platform gives a relay what it needs (`LB_CONFIG`, `LB_STATE`). Further settings of an installation are
+in an operator file: TOML, named by `--operator` or `RYESTACK_OPERATOR`. Without one every key has its
+default, and what the platform forbids is off. The constants of routing decisions cannot be set.
 
-Layers, each over the one before: defaults, the file, `RYESTACK_...` variables, flags (`--set KEY=VALUE`).
-`ryestack config show` prints each value with its origin, `ryestack config init` a first file,
-`ryestack config schema` the JSON Schema, and `ryestack check` tells all faults of a file at once: file, line,
-key, what was found, what is allowed, the nearest known key. A relay that is started with a fault ends with
-status 2.
+Layers, each overriding the one before: defaults, file, `RYESTACK_...` variables, flags (`--set KEY=VALUE`).
+`ryestack config show` prints each value with its origin, `ryestack config init` an initial file,
+`ryestack config schema` the JSON Schema, and `ryestack check` reports all faults of a file at once: file,
+line, key, the value found, the values allowed, the closest known key. A relay that is started with a fault
+exits with status 2.
 """
 
 
 def toml(value) -> str:
-    """A value as TOML writes it."""
+    """A value in TOML syntax."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return json.dumps(msgspec.to_builtins(value))
@@ -36,13 +36,13 @@
     return field.default_factory() if field.default is msgspec.NODEFAULT else field.default
 
 
-def told(kind) -> str:
-    """What a key's type says of it."""
+def description(kind) -> str:
+    """The description in a key's type annotation."""
     return get_args(kind)[1].description or "" if get_args(kind)[1:] and get_origin(kind) else ""
 
 
 def sections(schema=Operator, prefix: str = "") -> list[tuple[str, str, list]]:
-    """(dotted table, its doc, its plain fields), the file's own keys first."""
+    """(dotted table, its docstring, its fields that are not tables), the top level first."""
     fields = msgspec.structs.fields(schema)
     found = [(prefix, schema.__doc__ or "", [f for f in fields if not struct_of(f.type)])]
     for field in fields:
@@ -52,6 +52,7 @@
 
 
 def page() -> str:
+    """The text of docs/configuration.md."""
     parts = [HEAD]
     for name, doc, fields in sections():
         title = f"## `[{name}]`" if name else "## At the top"
@@ -62,7 +63,7 @@
                 f"`{dotted}`",
                 f"`{toml(default(f))}`",
                 allowed(f.type),
-                told(f.type),
+                description(f.type),
                 f"`{variable(dotted)}`",
             )
             rows.append("| " + " | ".join(cells) + " |")
@@ -71,9 +72,10 @@
 
 
 def first_file() -> str:
+    """An operator file with every key at its default."""
     lines = [f"# ryestack operator file, format {FORMAT}; every key at its default"]
     for name, doc, fields in sections():
         lines += [""] + ([f"[{name}]  # {doc.strip()}"] if name else [])
         for f in fields:
-            lines += [f"# {told(f.type)}: {allowed(f.type)}", f"{f.encode_name} = {toml(default(f))}"]
+            lines += [f"# {description(f.type)}: {allowed(f.type)}", f"{f.encode_name} = {toml(default(f))}"]
     return "\n".join(lines) + "\n"
