--- a/ryestack/placement/__init__.py
+++ b/ryestack/placement/__init__.py
@@ -1,6 +1,6 @@
-"""Where copies of shards stand, and how they move: pure decisions. Bytes are moved by whoever asks for a
-plan.
+"""Placement of shard copies on nodes, and moves between nodes. Pure decisions: the caller moves the bytes.
 
-`model`: nodes, shards and what is wrong with a placing; `plan`: moves with few bytes, within headroom at
-each step; `moves`: the table of one move. Left out: carrying moves out over peers, which nothing does yet.
+`model`: nodes, shards and the state of a placement; `plan`: plans of moves with few bytes that keep every
+node within its capacity at each step; `moves`: the state machine of one move. Not included: carrying moves
+out over peers, which nothing does yet.
 """
--- a/ryestack/placement/model.py
+++ b/ryestack/placement/model.py
@@ -1,12 +1,11 @@
-"""Nodes, shards, and what a placing lacks. Sizes are bytes, and may grow while moves run. Pure."""
+"""Nodes, shards, and which node holds which shard. Sizes are bytes, and may grow while moves run. Pure."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class State(Enum):
-    """What a node may be used for: up may gain and hold, joining and up may gain, draining and gone must
-    lose all."""
+    """State of a node: joining and up nodes may gain copies, draining and gone nodes must lose all."""
 
     JOINING = "joining"
     UP = "up"
@@ -14,13 +13,13 @@
     GONE = "gone"
 
 
-GAINS = {State.JOINING, State.UP}
-SOURCES = {State.JOINING, State.UP, State.DRAINING}  # from a node that is gone nothing can be copied
+GAINING_STATES = {State.JOINING, State.UP}
+HOLDING_STATES = {State.JOINING, State.UP, State.DRAINING}  # nothing can be copied from a node that is gone
 
 
 @dataclass(frozen=True, slots=True)
 class Node:
-    """allowance: bytes that it may hold in all; other: bytes that it uses beside shards."""
+    """allowance: bytes that it may hold in total; other: bytes that it uses for anything but shards."""
 
     name: str
     allowance: int
@@ -29,12 +28,13 @@
     other: int = 0
 
     def capacity(self) -> int:
+        """Bytes for shards."""
         return max(0, self.allowance - self.other)
 
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """copies: how many nodes hold it; on: who does now; growth: bytes that it may gain while it moves."""
+    """copies: nodes that should hold it; holders: nodes that do; growth: bytes it may gain while it moves."""
 
     name: str
     size: int
@@ -43,12 +43,16 @@
     growth: int = 0
 
     def max_size(self) -> int:
+        """Bytes that it may have at the end of a move."""
         return self.size + self.growth
 
 
 @dataclass(slots=True)
 class Placement:
-    """Who holds what, as it changes step by step. used: bytes by node, both copies of what moves counted."""
+    """Which nodes hold which shards, updated move by move.
+
+    used: bytes by node; a shard that moves counts at both nodes.
+    """
 
     nodes: dict[str, Node]
     shards: dict[str, Shard]
@@ -57,21 +61,25 @@
 
     @classmethod
     def of(cls, nodes: list[Node], shards: list[Shard]) -> "Placement":
-        made = cls({n.name: n for n in nodes}, {s.name: s for s in shards})
-        made.used = {n.name: 0 for n in nodes}
+        placement = cls({n.name: n for n in nodes}, {s.name: s for s in shards})
+        placement.used = {n.name: 0 for n in nodes}
         for shard in shards:
-            made.holders[shard.name] = {n for n in shard.holders if n in made.nodes and made.holds(n)}
-            for name in made.holders[shard.name]:
-                made.used[name] += shard.max_size()
-        return made
+            placement.holders[shard.name] = {
+                n for n in shard.holders if n in placement.nodes and placement.holds(n)
+            }
+            for name in placement.holders[shard.name]:
+                placement.used[name] += shard.max_size()
+        return placement
 
     def holds(self, name: str) -> bool:
-        return self.nodes[name].state in SOURCES
+        return self.nodes[name].state in HOLDING_STATES
 
     def free(self, name: str) -> int:
+        """Unused bytes of a node."""
         return self.nodes[name].capacity() - self.used[name]
 
     def zones(self, shard: str, without: str = "") -> list[str]:
+        """The zones of the shard's copies, leaving out the copy on one node."""
         return [self.nodes[n].zone for n in self.holders[shard] if n != without]
 
     def add(self, shard: str, name: str) -> None:
@@ -83,5 +91,5 @@
         self.used[name] -= self.shards[shard].max_size()
 
     def load(self, name: str) -> float:
-        """The part of its room that is used: 0 to 1."""
+        """The used fraction of a node's capacity: 0 to 1."""
         return self.used[name] / max(1, self.nodes[name].capacity())
--- a/ryestack/placement/moves.py
+++ b/ryestack/placement/moves.py
@@ -1,15 +1,15 @@
-"""The life of one move, as a table: one holder is in force at any moment, and no copy goes before another
-is proven.
+"""State machine of one move: exactly one copy is authoritative at any time, and no copy is dropped before
+another one is verified.
 
-A kill of the planner, the source or the target at any state is told as `lost`; what is told twice changes
-nothing.
+If the planner, the source or the target is killed in any state, the event is `... lost`; a repeated event
+changes nothing.
 """
 
-# (states, what happened, next state)
+# (states, event, next state)
 ROWS = (
     ("planned", "begun", "copying"),
     ("copying", "digests agree", "verified"),
-    ("copying", "digests differ", "planned"),  # what was copied counts for nothing
+    ("copying", "digests differ", "planned"),  # the copy is discarded
     ("verified", "epoch taken", "switched"),
     ("switched", "old copy gone", "dropped"),
     ("planned copying verified", "called off", "cancelled"),
@@ -17,15 +17,16 @@
     ("planned copying", "source lost", "cancelled"),
     ("switched", "source lost", "dropped"),
 )
-TABLE = {(state, heard): to for states, heard, to in ROWS for state in states.split()}
-ENDS = {"dropped", "cancelled"}
-IN_FORCE = {"switched": "target", "dropped": "target"}  # else the source
+TABLE = {(state, event): to for states, event, to in ROWS for state in states.split()}
+FINAL_STATES = {"dropped", "cancelled"}
+AUTHORITATIVE = {"switched": "target", "dropped": "target"}  # in all other states the source
 
 
-def after(state: str, heard: str) -> str:
-    return TABLE.get((state, heard), state)
+def next_state(state: str, event: str) -> str:
+    """The state after an event; events without a row change nothing."""
+    return TABLE.get((state, event), state)
 
 
-def in_force(state: str) -> str:
-    """Whose copy counts."""
-    return IN_FORCE.get(state, "source")
+def authoritative(state: str) -> str:
+    """The node whose copy is authoritative: "source" or "target"."""
+    return AUTHORITATIVE.get(state, "source")
--- a/ryestack/placement/plan.py
+++ b/ryestack/placement/plan.py
@@ -1,26 +1,28 @@
-"""A plan of moves: few bytes, both copies there while one moves, no node past its room at any step. Pure.
+"""Plans moves with few bytes that keep both copies during a move and every node within its capacity. Pure.
 
-Same input, same plan, whatever the order of rows. In the order of what it is for: copies that lack, nodes
-that must be emptied, zones that a shard shares, then load out of tolerance. A swap that finds no room goes
-by way of a third node.
+The plan is deterministic and does not depend on the order of the input. Goals by priority: restore missing
+copies, empty draining nodes, separate copies that share a zone, then balance load beyond the tolerance. A
+swap without free space goes through a third node.
 """
 
 from dataclasses import dataclass, field
 from itertools import chain
 
-from .model import GAINS, Node, Placement, Shard, State
+from .model import GAINING_STATES, Node, Placement, Shard, State
 
-TOLERANCE = 0.10  # of a node's room over the mean: less is not worth the bytes, and growth would undo it
-GAIN = 0.5  # a move for load may turn a difference round by so much of it: else it comes back
-AT_ONCE = 2  # moves that a node takes part in side by side
-ROUNDS = 4  # of zones and load in turn: a level cluster may have room for a zone that a full one had not
-LONGEST = 4  # times as many moves as shards: past it a plan circles
+# Fraction of a node's capacity above the mean load: less is not worth the bytes, and growth would undo it.
+TOLERANCE = 0.10
+# A move for load may reverse the difference of two nodes by this fraction at most: else it would be undone.
+MAX_REVERSAL = 0.5
+MAX_PARALLEL_MOVES = 2  # that a node takes part in
+MAX_ROUNDS = 4  # of zones, then load: a balanced cluster may have space for a zone that it lacked before
+MAX_MOVES_PER_SHARD = 4  # on average; a plan with more goes round in circles
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """Copy a shard from source to target, then drop it at drops ("" : a copy that lacked; nothing is
-    dropped)."""
+    """Copy a shard from source to target, then drop the copy at `drops` ("" if the move restores a missing
+    copy)."""
 
     shard: str
     source: str
@@ -32,8 +34,8 @@
 
 @dataclass(slots=True)
 class Plan:
-    """steps: moves that run side by side, one step after another. lacks: (node, shard, bytes) that found
-    no room."""
+    """steps: lists of moves that run in parallel, one list after another; shortfalls: (node, shard, bytes
+    that are missing there) for copies that fit nowhere."""
 
     steps: list[list[Move]] = field(default_factory=list)
     shortfalls: list[tuple[str, str, int]] = field(default_factory=list)
@@ -46,150 +48,162 @@
 
 
 def plan(nodes: list[Node], shards: list[Shard], tolerance: float = TOLERANCE) -> Plan:
-    made = _Planner(sorted(nodes, key=lambda n: n.name), sorted(shards, key=lambda s: s.name), tolerance)
-    made.mend()
-    made.empty()
-    for _ in range(ROUNDS):
-        before = len(made.moves)
-        made.spread()
-        made.level()
-        if len(made.moves) == before:
+    """The moves for all goals; tolerance: as TOLERANCE."""
+    planner = _Planner(sorted(nodes, key=lambda n: n.name), sorted(shards, key=lambda s: s.name), tolerance)
+    planner.restore_copies()
+    planner.empty_draining()
+    for _ in range(MAX_ROUNDS):
+        before = len(planner.moves)
+        planner.separate_zones()
+        planner.balance()
+        if len(planner.moves) == before:
             break
-    return Plan(_steps(made.moves, nodes, shards), made.shortfalls)
+    return Plan(_steps(planner.moves, nodes, shards), planner.shortfalls)
 
 
 class _Planner:
-    """Moves one after another on a placing; what runs side by side is found afterwards."""
+    """Plans moves one after another; which of them run in parallel is decided afterwards."""
 
     def __init__(self, nodes: list[Node], shards: list[Shard], tolerance: float):
-        self.at, self.tolerance = Placement.of(nodes, shards), tolerance
+        self.placement, self.tolerance = Placement.of(nodes, shards), tolerance
         self.moves: list[Move] = []
         self.shortfalls: list[tuple[str, str, int]] = []
-        self.gaining = [n.name for n in nodes if n.state in GAINS]
+        self.gaining = [n.name for n in nodes if n.state in GAINING_STATES]
         self.largest = sorted(shards, key=lambda s: (-s.max_size(), s.name))
 
-    # -- what it is for -------------------------------------------------------------------------------
+    # -- goals -------------------------------------------------------------------------------
 
-    def mend(self) -> None:
+    def restore_copies(self) -> None:
         for shard in self.largest:
-            while len(self.at.holders[shard.name]) < shard.copies and self.at.holders[shard.name]:
-                if not self.put(shard, "", "a copy lacks"):
+            while (
+                len(self.placement.holders[shard.name]) < shard.copies and self.placement.holders[shard.name]
+            ):
+                if not self.place(shard, "", "a copy is missing"):
                     break
 
-    def empty(self) -> None:
+    def empty_draining(self) -> None:
         for shard in self.largest:
-            for name in sorted(self.at.holders[shard.name]):
-                if self.at.nodes[name].state is State.DRAINING:
-                    self.put(shard, name, "its node drains")
+            for name in sorted(self.placement.holders[shard.name]):
+                if self.placement.nodes[name].state is State.DRAINING:
+                    self.place(shard, name, "its node drains")
 
-    def spread(self) -> None:
-        """Copies that share a zone, where another zone has room."""
+    def separate_zones(self) -> None:
+        """Moves copies that share a zone to another zone with space."""
         for shard in self.largest:
-            for name in sorted(self.at.holders[shard.name]):
-                zones = self.at.zones(shard.name, name)
-                target = self.target(shard, name) if self.at.nodes[name].zone in zones else ""
-                if target and self.at.nodes[target].zone not in zones:
+            for name in sorted(self.placement.holders[shard.name]):
+                zones = self.placement.zones(shard.name, name)
+                target = self.target(shard, name) if self.placement.nodes[name].zone in zones else ""
+                if target and self.placement.nodes[target].zone not in zones:
                     self.move(shard, name, target, "its copies share a zone")
 
-    def level(self) -> None:
-        """From the fullest to the emptiest, the piece that levels them best for its bytes."""
-        for _ in range(LONGEST * max(1, len(self.largest))):
+    def balance(self) -> None:
+        """Moves from the fullest to the emptiest node the shard that balances them best for its bytes."""
+        for _ in range(MAX_MOVES_PER_SHARD * max(1, len(self.largest))):
             if len(self.gaining) < 2:
                 return
-            mean = sum(map(self.at.load, self.gaining)) / len(self.gaining)
-            over = [n for n in self.gaining if self.at.load(n) > mean + self.tolerance]
-            over.sort(key=lambda n: (-self.at.load(n), n))
+            mean = sum(map(self.placement.load, self.gaining)) / len(self.gaining)
+            over = [n for n in self.gaining if self.placement.load(n) > mean + self.tolerance]
+            over.sort(key=lambda n: (-self.placement.load(n), n))
             if not any(self.relieve(full, mean) for full in over):
                 return
 
     def relieve(self, full: str, mean: float) -> bool:
-        over = (self.at.load(full) - mean - self.tolerance) * self.at.nodes[full].capacity()
-        held = [s for s in self.largest if full in self.at.holders[s.name]]
-        # Just what brings it back, else the largest that is less: many small ones would cost as much.
+        """Moves one shard off a node that is above the tolerance; whether one was found."""
+        over = (self.placement.load(full) - mean - self.tolerance) * self.placement.nodes[full].capacity()
+        held = [s for s in self.largest if full in self.placement.holders[s.name]]
+        # The smallest that suffices, else the largest below it: many small ones would cost as many bytes.
         enough = sorted((s for s in held if s.max_size() >= over), key=lambda s: (s.max_size(), s.name))
         for shard in [*enough[:8], *(s for s in held if s.max_size() < over)]:
-            target = self.target(shard, full, level=True)
-            if target and self.gains(shard, full, target):
+            target = self.target(shard, full, for_balance=True)
+            if target and self.is_worth(shard, full, target):
                 self.move(shard, full, target, "its node is fuller than others")
                 return True
         return False
 
-    def gains(self, shard: Shard, full: str, target: str) -> bool:
-        rooms = self.at.nodes[full].capacity(), self.at.nodes[target].capacity()
-        before = self.at.load(full) - self.at.load(target)
-        after = before - shard.max_size() / max(1, rooms[0]) - shard.max_size() / max(1, rooms[1])
-        return after >= -before * GAIN  # else the other becomes the fuller one, and it comes back next time
-
-    # -- where to -------------------------------------------------------------------------------------
-
-    def target(self, shard: Shard, instead: str, level: bool = False) -> str:
-        """The best node with room: one of a zone of its own first, then the emptiest; "" if there is none."""
-        taken = set(self.at.zones(shard.name, instead))
-        wanted = self.at.nodes[instead].zone in taken if instead else True
-        fits = [
+    def is_worth(self, shard: Shard, full: str, target: str) -> bool:
+        """Whether the move does not make the target fuller than the source was by more than MAX_REVERSAL."""
+        capacities = self.placement.nodes[full].capacity(), self.placement.nodes[target].capacity()
+        before = self.placement.load(full) - self.placement.load(target)
+        after = before - shard.max_size() / max(1, capacities[0]) - shard.max_size() / max(1, capacities[1])
+        return (
+            after >= -before * MAX_REVERSAL
+        )  # else the target becomes the fuller one, and the shard moves back
+
+    # -- targets -------------------------------------------------------------------------------------
+
+    def target(self, shard: Shard, instead: str, for_balance: bool = False) -> str:
+        """The best node with space for a copy, "" if there is none.
+
+        Nodes in zones without a copy come first, then the emptiest. instead: the node whose copy is replaced.
+        """
+        used_zones = set(self.placement.zones(shard.name, instead))
+        shares_zone = self.placement.nodes[instead].zone in used_zones if instead else True
+        candidates = [
             n for n in self.gaining
-            if n not in self.at.holders[shard.name] and self.at.free(n) >= shard.max_size()
+            if n not in self.placement.holders[shard.name] and self.placement.free(n) >= shard.max_size()
         ]  # fmt: skip
-        if level and not wanted:
-            fits = [n for n in fits if self.at.nodes[n].zone not in taken]
-        key = lambda n: (self.at.nodes[n].zone in taken, self.at.load(n), n)  # noqa: E731
-        return min(fits, key=key, default="")
+        if for_balance and not shares_zone:
+            candidates = [n for n in candidates if self.placement.nodes[n].zone not in used_zones]
+        key = lambda n: (self.placement.nodes[n].zone in used_zones, self.placement.load(n), n)  # noqa: E731
+        return min(candidates, key=key, default="")
 
-    def put(self, shard: Shard, instead: str, why: str) -> bool:
-        target = self.target(shard, instead) or self.made_room(shard, instead)
+    def place(self, shard: Shard, instead: str, why: str) -> bool:
+        target = self.target(shard, instead) or self.make_space(shard, instead)
         if not target:
-            roomiest = max(self.gaining, key=lambda n: (self.at.free(n), n), default="")
-            short = shard.max_size() - (self.at.free(roomiest) if roomiest else 0)
-            self.shortfalls.append((roomiest, shard.name, short))
+            emptiest = max(self.gaining, key=lambda n: (self.placement.free(n), n), default="")
+            missing = shard.max_size() - (self.placement.free(emptiest) if emptiest else 0)
+            self.shortfalls.append((emptiest, shard.name, missing))
             return False
         self.move(shard, instead, target, why)
         return True
 
-    def made_room(self, shard: Shard, instead: str) -> str:
-        """Room by way of a third node: a smaller piece leaves one that lacks little."""
-        for name in sorted(self.gaining, key=lambda n: (-self.at.free(n), n)):
-            if name in self.at.holders[shard.name]:
+    def make_space(self, shard: Shard, instead: str) -> str:
+        """Moves a smaller shard off a node that is short of little space; the node, "" if there is none."""
+        for name in sorted(self.gaining, key=lambda n: (-self.placement.free(n), n)):
+            if name in self.placement.holders[shard.name]:
                 continue
-            short = shard.max_size() - self.at.free(name)
+            missing = shard.max_size() - self.placement.free(name)
             held = [
-                s for s in reversed(self.largest) if name in self.at.holders[s.name] and s.max_size() >= short
+                s
+                for s in reversed(self.largest)
+                if name in self.placement.holders[s.name] and s.max_size() >= missing
             ]
             for other in held[:8]:
                 third = self.target(other, name) if other.name != shard.name else ""
                 if third and third != instead:
-                    self.move(other, name, third, "room for another")
+                    self.move(other, name, third, "space for another shard")
                     return name
         return ""
 
     def move(self, shard: Shard, instead: str, target: str, why: str) -> None:
-        holders = [n for n in self.at.holders[shard.name] if n != target]
-        source = instead or min(holders, key=lambda n: (self.at.load(n), n))
+        sources = [n for n in self.placement.holders[shard.name] if n != target]
+        source = instead or min(sources, key=lambda n: (self.placement.load(n), n))
         self.moves.append(Move(shard.name, source, target, instead, shard.max_size(), why))
-        self.at.add(shard.name, target)
+        self.placement.add(shard.name, target)
         if instead:
-            self.at.drop(shard.name, instead)
+            self.placement.drop(shard.name, instead)
 
 
 def _steps(moves: list[Move], nodes: list[Node], shards: list[Shard]) -> list[list[Move]]:
-    """As many side by side as room for both copies and AT_ONCE allow, in an order that keeps each shard's
-    own."""
-    at, left, steps = Placement.of(nodes, shards), list(moves), []
+    """As many moves in parallel as the space for both copies and MAX_PARALLEL_MOVES allow. The order of the
+    moves of one shard is kept."""
+    placement, left, steps = Placement.of(nodes, shards), list(moves), []
     while left:
-        step, busy, begun, wanted = [], {}, set(), set()
+        step, busy, begun, reserved = [], {}, set(), set()
         for move in left:
             names = {move.source, move.target}
-            idle = move.shard not in begun and all(busy.get(n, 0) < AT_ONCE for n in names)
-            # What an earlier move waits for stays free for it: so the first that is left can always begin.
-            if idle and move.target not in wanted and at.free(move.target) >= move.size:
+            idle = move.shard not in begun and all(busy.get(n, 0) < MAX_PARALLEL_MOVES for n in names)
+            # Space that an earlier move waits for is reserved, so that the first move left can always begin.
+            if idle and move.target not in reserved and placement.free(move.target) >= move.size:
                 step.append(move)
-                at.add(move.shard, move.target)
+                placement.add(move.shard, move.target)
                 busy.update({n: busy.get(n, 0) + 1 for n in names})
             else:
-                wanted.add(move.target)
+                reserved.add(move.target)
             begun.add(move.shard)
         for move in step:
             if move.drops:
-                at.drop(move.shard, move.drops)
+                placement.drop(move.shard, move.drops)
         left = [move for move in left if move not in step]
         steps.append(step)
     return steps
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""No log lines between the runner's: a test that reads them sets up its own."""
+"""Turns the log off, so that it does not mix with pytest's output; a test that reads it sets up its own."""
 
 from loguru import logger
 
--- a/tests/test_no_site_names.py
+++ b/tests/test_no_site_names.py
@@ -1,4 +1,4 @@
-"""Nothing in the program or its deploy file knows a deployment: no site, topic type or customer by name."""
+"""The program and its deploy file name no site, topic type or customer of a deployment."""
 
 import tomllib
 import unittest
@@ -8,6 +8,7 @@
 
 
 def names() -> set[str]:
+    """All names in the configurations under deploy/sites."""
     found = set()
     for path in (ROOT / "deploy" / "sites").glob("*/*.toml"):
         site = tomllib.loads(path.read_text())
@@ -16,7 +17,7 @@
 
 
 class Names(unittest.TestCase):
-    def test_no_name_of_a_site_stands_in_the_program(self):
+    def test_the_program_contains_no_name_of_a_site(self):
         self.assertGreater(len(names()), 6)
         files = [*(ROOT / "ryestack").rglob("*.py"), ROOT / "deploy" / "balancer.toml"]
         for path in files:
