--- a/ryestack/observe/figures.py
+++ b/ryestack/observe/figures.py
@@ -43,13 +43,16 @@
     values: dict[str, float],
     labelled: dict[str, dict[str, int]] | None = None,
 ) -> str:
-    """handled: by (topic type, how it ended); categories: the topic types to tell though none ended yet;
-    labelled: counts by label, for the names in LABELLED."""
+    """All metrics as text.
+
+    handled: counts by (topic type, outcome); categories: topic types to list even without notifications;
+    values: by name, for FIGURES and CONTROL_FIGURES; labelled: counts by label, for the names in LABELLED.
+    """
     lines = _head("handled_total", "counter", "messages ended: delivered; refused or handed back; failed")
     for category in sorted({*categories, *(topic for topic, _ in handled)}):
-        for end, word in OUTCOMES.items():
-            labels = f'category="{_escaped(category)}",outcome="{word}"'
-            lines.append(f"{PREFIX}handled_total{{{labels}}} {handled[category, end]}")
+        for outcome, label in OUTCOMES.items():
+            labels = f'category="{_escaped(category)}",outcome="{label}"'
+            lines.append(f"{PREFIX}handled_total{{{labels}}} {handled[category, outcome]}")
     scoped = CONTROL_FIGURES if "control_version" in values else ()
     for name, kind, meaning in (*FIGURES, *scoped):
         lines += [*_head(name, kind, meaning), f"{PREFIX}{name} {values[name]}"]
--- a/ryestack/observe/repeats.py
+++ b/ryestack/observe/repeats.py
@@ -13,10 +13,8 @@
     MAX_KEYS = 1024
 
     def __init__(self, period: float):
-        self.period, self.rows = (
-            period,
-            OrderedDict(),
-        )  # key -> [time of the last line written, lines suppressed since]
+        # Key -> [time of the last line written, lines suppressed since].
+        self.period, self.rows = period, OrderedDict()
 
     def record(self, key, now: float) -> int | None:
         """Lines suppressed since the last one written, if this one is to be written; None to suppress it."""
--- a/ryestack/operator/layers.py
+++ b/ryestack/operator/layers.py
@@ -28,9 +28,8 @@
     """The merged settings, and the origin of each value."""
 
     values: Operator
-    origin: dict[str, str] = field(
-        default_factory=dict
-    )  # dotted key -> default, FILE:LINE, environment NAME or flag
+    # Dotted key -> default, FILE:LINE, environment NAME or flag.
+    origin: dict[str, str] = field(default_factory=dict)
 
 
 def variable(dotted: str) -> str:
@@ -64,8 +63,8 @@
         if not name.startswith(PREFIX) or name == FILE:
             continue
         if name not in variables:
-            problem = "is no such variable" + nearest(name, list(variables))
-            faults.append(Fault("environment", 0, name, problem))
+            message = "is no such variable" + nearest(name, list(variables))
+            faults.append(Fault("environment", 0, name, message))
             continue
         faults += _put(table, variables[name], value, known, "environment", name)
         origin[variables[name]] = f"environment {name}"
--- a/ryestack/peers/messages.py
+++ b/ryestack/peers/messages.py
@@ -100,6 +100,7 @@
 
 
 def encode(envelope: Envelope) -> bytes:
+    """The body of a request or reply."""
     return _encoder.encode(envelope)
 
 
--- a/ryestack/peers/promises.py
+++ b/ryestack/peers/promises.py
@@ -42,4 +42,5 @@
 
 
 def cover_result(covered: bool) -> str:
+    """The result, as in ROWS, of a promise that waited for its cover."""
     return "covered" if covered else "late"
--- a/ryestack/peers/shard.py
+++ b/ryestack/peers/shard.py
@@ -232,10 +232,10 @@
 
     def send_all(self, now: float) -> None:
         """Sends each member what it lacks, or a heartbeat that is due."""
-        beat = self.lease / HEARTBEATS_PER_LEASE
+        interval = self.lease / HEARTBEATS_PER_LEASE
         for name, peer in self.others.items():
-            lost = now >= peer.sent_at + beat * (RETRY if now < peer.granted_at + self.lease else 1.0)
-            if (peer.held < self.last[1] and (not peer.in_flight or lost)) or now >= peer.sent_at + beat:
+            lost = now >= peer.sent_at + interval * (RETRY if now < peer.granted_at + self.lease else 1.0)
+            if (peer.held < self.last[1] and (not peer.in_flight or lost)) or now >= peer.sent_at + interval:
                 peer.sent_at, peer.in_flight = now, True
                 self.effects.append(("send", name, self.append_for(peer, now)))
         if len(self.log) > MAX_LOG:
--- a/ryestack/peers/transport.py
+++ b/ryestack/peers/transport.py
@@ -50,12 +50,14 @@
         return f"{host}:{port}"
 
     def accept(self) -> asyncio.Protocol:
+        """Makes the handler of a new connection; past MAX_CONNECTIONS the oldest one is closed."""
         connections = self.server.connections
         if len(connections) >= MAX_CONNECTIONS:
             connections[0].force_close()
         return self.server()
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
+        """Answers one HTTP request; any fault of it is a 4xx."""
         if request.raw_path != PATH:
             return web.Response(status=404)
         if request.method != "POST":
@@ -78,6 +80,7 @@
             return _closing(400)
 
     async def close(self) -> None:
+        """Stops to serve and closes all connections."""
         if self.listener:
             self.listener.close()
             for connection in list(self.server.connections):
@@ -109,6 +112,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def request(self, to: str, body: bytes) -> None:
+        """Posts an envelope and passes the reply on; failures are logged or ignored."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 response = await self.session.post(f"http://{self.addresses[to]}{PATH}", data=body)
@@ -132,6 +136,7 @@
             self.in_flight[to] -= 1
 
     async def close(self) -> None:
+        """Cancels all requests and closes the connections."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
--- a/ryestack/placement/model.py
+++ b/ryestack/placement/model.py
@@ -72,6 +72,7 @@
         return placement
 
     def holds(self, name: str) -> bool:
+        """Whether copies on that node can be read."""
         return self.nodes[name].state in HOLDING_STATES
 
     def free(self, name: str) -> int:
@@ -83,10 +84,12 @@
         return [self.nodes[n].zone for n in self.holders[shard] if n != without]
 
     def add(self, shard: str, name: str) -> None:
+        """Adds a copy on a node."""
         self.holders[shard].add(name)
         self.used[name] += self.shards[shard].max_size()
 
     def drop(self, shard: str, name: str) -> None:
+        """Removes the copy on a node."""
         self.holders[shard].discard(name)
         self.used[name] -= self.shards[shard].max_size()
 
--- a/ryestack/placement/plan.py
+++ b/ryestack/placement/plan.py
@@ -41,9 +41,11 @@
     shortfalls: list[tuple[str, str, int]] = field(default_factory=list)
 
     def moves(self) -> list[Move]:
+        """All moves, in order."""
         return list(chain.from_iterable(self.steps))
 
     def bytes(self) -> int:
+        """Bytes that the plan moves."""
         return sum(move.size for move in self.moves())
 
 
@@ -74,6 +76,7 @@
     # -- goals -------------------------------------------------------------------------------
 
     def restore_copies(self) -> None:
+        """Adds copies of shards that have fewer than they should and at least one."""
         for shard in self.largest:
             while (
                 len(self.placement.holders[shard.name]) < shard.copies and self.placement.holders[shard.name]
@@ -82,6 +85,7 @@
                     break
 
     def empty_draining(self) -> None:
+        """Moves all copies off draining nodes."""
         for shard in self.largest:
             for name in sorted(self.placement.holders[shard.name]):
                 if self.placement.nodes[name].state is State.DRAINING:
@@ -115,19 +119,18 @@
         enough = sorted((s for s in held if s.max_size() >= over), key=lambda s: (s.max_size(), s.name))
         for shard in [*enough[:8], *(s for s in held if s.max_size() < over)]:
             target = self.target(shard, full, for_balance=True)
-            if target and self.is_worth(shard, full, target):
+            if target and self.improves_balance(shard, full, target):
                 self.move(shard, full, target, "its node is fuller than others")
                 return True
         return False
 
-    def is_worth(self, shard: Shard, full: str, target: str) -> bool:
-        """Whether the move does not make the target fuller than the source was by more than MAX_REVERSAL."""
+    def improves_balance(self, shard: Shard, full: str, target: str) -> bool:
+        """Whether the move reverses the load difference of the two nodes by at most MAX_REVERSAL of it: else
+        the target becomes the fuller node, and the shard would move back."""
         capacities = self.placement.nodes[full].capacity(), self.placement.nodes[target].capacity()
         before = self.placement.load(full) - self.placement.load(target)
         after = before - shard.max_size() / max(1, capacities[0]) - shard.max_size() / max(1, capacities[1])
-        return (
-            after >= -before * MAX_REVERSAL
-        )  # else the target becomes the fuller one, and the shard moves back
+        return after >= -before * MAX_REVERSAL
 
     # -- targets -------------------------------------------------------------------------------------
 
@@ -148,6 +151,7 @@
         return min(candidates, key=key, default="")
 
     def place(self, shard: Shard, instead: str, why: str) -> bool:
+        """Moves a copy to the best node, or records the shortfall; whether it was moved."""
         target = self.target(shard, instead) or self.make_space(shard, instead)
         if not target:
             emptiest = max(self.gaining, key=lambda n: (self.placement.free(n), n), default="")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -20,8 +20,8 @@
             shutil.copy(HERE / "conftest.py", tests)
             (tests / "test_sample.py").write_text(SAMPLE)
             (Path(folder) / "KNOWN-RED.txt").write_text(red)
-            command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", folder]
-            result = subprocess.run([*command, "tests"], cwd=folder, capture_output=True, text=True, timeout=60)
+            run = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "--rootdir", folder]
+            result = subprocess.run([*run, "tests"], cwd=folder, capture_output=True, text=True, timeout=60)
             return result.returncode, result.stdout + result.stderr
 
     def test_only_the_listed_tests_may_fail_and_none_of_them_may_pass(self):
