--- a/ryestack/observe/figures.py
+++ b/ryestack/observe/figures.py
@@ -1,14 +1,14 @@
-"""The figures that on-call staff and their collectors read, in the Prometheus text format (version 0.0.4).
+"""Metrics in the Prometheus text format (version 0.0.4), for on-call staff and collectors.
 
-Counters are kept where the thing happens; here they are only read and written down when somebody asks.
+Counters are kept by the modules that they belong to; this module formats them on request.
 """
 
 from collections import Counter
 from collections.abc import Iterable
 
-TYPE = "text/plain; version=0.0.4; charset=utf-8"
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 PREFIX = "lb_"
-# How a notification ended -> the operators' word.
+# Outcome of a notification -> value of the label `outcome`, in the operators' terms.
 OUTCOMES = {"delivered": "passed", "throttled": "dropped", "expired": "bad_gateway"}
 FIGURES = (  # name, type, meaning
     ("upstream_tries_total", "counter", "messages written whole to endpoints"),
@@ -37,19 +37,22 @@
 )
 
 
-def text(
+def render(
     handled: Counter,
     categories: Iterable[str],
     values: dict[str, float],
     labelled: dict[str, dict[str, int]] | None = None,
 ) -> str:
-    """handled: by (topic type, how it ended); categories: the topic types to tell though none ended yet;
-    labelled: counts by label, for the names in LABELLED."""
+    """All metrics as text.
+
+    handled: counts by (topic type, outcome); categories: topic types to list even without notifications;
+    values: by name, for FIGURES and CONTROL_FIGURES; labelled: counts by label, for the names in LABELLED.
+    """
     lines = _head("handled_total", "counter", "messages ended: delivered; refused or handed back; failed")
     for category in sorted({*categories, *(topic for topic, _ in handled)}):
-        for end, word in OUTCOMES.items():
-            labels = f'category="{_escaped(category)}",outcome="{word}"'
-            lines.append(f"{PREFIX}handled_total{{{labels}}} {handled[category, end]}")
+        for outcome, label in OUTCOMES.items():
+            labels = f'category="{_escaped(category)}",outcome="{label}"'
+            lines.append(f"{PREFIX}handled_total{{{labels}}} {handled[category, outcome]}")
     scoped = CONTROL_FIGURES if "control_version" in values else ()
     for name, kind, meaning in (*FIGURES, *scoped):
         lines += [*_head(name, kind, meaning), f"{PREFIX}{name} {values[name]}"]
