--- a/ryestack/benchlink/__init__.py
+++ b/ryestack/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: codec and instances. No decisions here."""
+"""Adapter to the bench: codec of its protocol, and the relays of one process. Makes no decisions."""
--- a/ryestack/benchlink/__main__.py
+++ b/ryestack/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""python -m ryestack.benchlink: serve the bench on standard input and output."""
+"""python -m ryestack.benchlink: serves the bench on standard input and output."""
 
 import sys
 
@@ -8,8 +8,8 @@
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout)
-    except BadLine as bad:
-        print(f"benchlink: {bad}", file=sys.stderr)
+    except BadLine as problem:
+        print(f"benchlink: {problem}", file=sys.stderr)
         sys.exit(2)
     except BrokenPipeError:
         sys.exit(1)
--- a/ryestack/benchlink/host.py
+++ b/ryestack/benchlink/host.py
@@ -1,6 +1,6 @@
-"""Hosts the instances of one process: a module each, sharing nothing."""
+"""Hosts the relays of one bench process: a decision module each, with no shared state."""
 
-from .. import interface as it
+from .. import interface
 from ..brain import Brain
 from .codec import (
     ACTIONS,
@@ -17,10 +17,12 @@
 
 
 class Host:
+    """The relays by number, the endpoint lists by reference, and the events of the current batch."""
+
     def __init__(self):
         self.brains: dict[int, Brain] = {}
-        self.lists: dict[int, tuple[it.Endpoint, ...]] = {}
-        self.pending: dict[int, list[it.Event]] = {}
+        self.lists: dict[int, tuple[interface.Endpoint, ...]] = {}
+        self.pending: dict[int, list[interface.Event]] = {}
 
     def event(self, fields: Fields) -> None:
         if fields.name == "Catalog":
@@ -33,7 +35,7 @@
             self.brains[relay] = Brain(settings_of(fields), seed)
             self.pending[relay] = []
         elif relay not in self.brains:
-            raise fields.bad(f"unknown instance {relay}")
+            raise fields.error(f"unknown instance {relay}")
         elif fields.name == "Retire":
             del self.brains[relay]
             self.pending.pop(relay, None)
@@ -43,19 +45,19 @@
             event = EVENTS[fields.name](fields)
             self.pending.setdefault(relay, []).extend([event] if event else [])
         else:
-            raise fields.bad("unknown event")
+            raise fields.error("unknown event")
 
-    def list_update(self, fields: Fields) -> it.ListUpdate:
+    def list_update(self, fields: Fields) -> interface.ListUpdate:
         scope = fields.next("scope", int)
         if scope not in SCOPES:
-            raise fields.bad(f"unknown scope {scope}")
+            raise fields.error(f"unknown scope {scope}")
         if scope == 3:
-            return it.ListUpdate(failed=True)
+            return interface.ListUpdate(failed=True)
         fields.next("stamp", int)
         ref = fields.next("ref", int)
         if ref not in self.lists:
-            raise fields.bad(f"unknown list {ref}")
-        return it.ListUpdate(self.lists[ref], whole=scope in (1, 2))
+            raise fields.error(f"unknown list {ref}")
+        return interface.ListUpdate(self.lists[ref], whole=scope in (1, 2))
 
     def end(self, now: float) -> list[str]:
         lines = []
@@ -66,14 +68,14 @@
                     for action in self.brains[relay].round(now, events)
                     if type(action) in ACTIONS
                 ]
-            except Exception as problem:  # the wire has a word for it: the day ends with this text
+            except Exception as problem:  # the protocol reports it as Fatal: the day ends with this text
                 lines.append(write_line("Fatal", relay, f"{type(problem).__name__}: {problem}"))
         self.pending = {}
         return lines
 
 
 def serve(source, sink) -> None:
-    """Read batches from source until it ends, and answer each on sink."""
+    """Reads batches from `source` until it ends, and answers each on `sink`. Raises BadLine."""
     host, now, number = Host(), 0.0, None
     for count, text in enumerate(source, 1):
         if not text.strip():
@@ -81,7 +83,7 @@
         fields = read_line(text, count)
         if fields.name == "Round":
             if number is not None:
-                raise fields.bad("the batch before has no End")
+                raise fields.error("the previous batch has no End")
             now, number = fields.seconds("clock"), fields.next("batch", int)
         elif number is None:
             raise BadLine(f"line {count}: {fields.name} outside a batch")
--- a/ryestack/interface/__init__.py
+++ b/ryestack/interface/__init__.py
@@ -1,11 +1,10 @@
-"""What the decision module is told and what it asks for: types only.
+"""Events that the decision module receives and actions that it returns: types only.
 
-Times are seconds with fractions, ids are kept as they came. Nothing here knows a protocol: an
-adapter turns its own messages into the events below and the actions into its own messages.
+Times are seconds as floats; ids are kept as received. Nothing here depends on a protocol: an adapter
+translates its own messages into these events, and the actions into its own messages.
 """
 
-from .terms import Customer, Effect, Kind, LateBenefit, Rules, Settings, TopicType
-from .words import (
+from .messages import (
     Action,
     AskForList,
     Cancel,
@@ -30,3 +29,4 @@
     WaitRequested,
     Withdrawn,
 )
+from .terms import Customer, Effect, Kind, LateBenefit, Rules, Settings, TopicType
--- a/ryestack/interface/words.py
+++ b/ryestack/interface/messages.py
@@ -1,4 +1,4 @@
-"""What the decision module is told and what it asks for: events and actions, as types."""
+"""Events that the decision module receives and actions that it returns."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -21,7 +21,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the list says of an endpoint."""
+    """State of an endpoint in the list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the list; rate is the calls a second its destination (or route) takes in all."""
+    """One entry of the list; rate: calls a second that its destination (or route) takes from all relays."""
 
     id: str
     zone: str
@@ -42,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """The list, or a change to it; whole: what is missing is gone; failed: an asking came to nothing.
+    """The endpoint list, or a change to it.
 
-    sure_at: with a failure, when the registry's word was last had, a time of the clock.
+    whole: endpoints that are missing are gone; failed: a request for the list failed; confirmed_at: with a
+    failure, when the registry last confirmed the list, a time of the clock.
     """
 
     endpoints: tuple[Endpoint, ...] = ()
@@ -57,10 +58,11 @@
 class Notification:
     """A notification to deliver by due, a time of the clock.
 
-    One that a relay owes from before a restart brings its history: the pushes made, and when the first
-    went that may have run. terms, most: the rules and the number of pushes that it was taken under, where
-    settings may have changed since. late: seconds that it had waited here before it was read:
-    its end may be told as late again, so that the decisions leave as much.
+    One that was accepted before a restart carries its history. pushes: pushes made so far; may_have_run_at:
+    when the first push that may have run was sent, inf if none. terms, max_pushes: the topic type's terms
+    and the push limit at acceptance, where settings may have changed since. read_delay: seconds that it had
+    waited in this process before it was read; the final answer may be delayed as long, so the decisions
+    leave that much time before due.
     """
 
     id: str
@@ -80,10 +82,11 @@
 class Outcome:
     """How a push ended.
 
-    ended: the notification has its final answer already; limit: the calls a second told, 0 if none; left: the
-    share of it that is left, 1 if none is told; stale:
-    it broke on what was kept open from before, without a word, which tells nothing of the endpoint's health;
-    made: False for one that was never begun, nor written down: it does not count as a push.
+    ended: the notification has its final answer already; wait: seconds that the endpoint asked to wait, 0 if
+    none; limit: the rate limit that it reported, in calls a second, 0 if none; limit_left: the share of that
+    limit that is left, 1 if not reported; stale: a reused connection broke before any byte of an answer,
+    which says nothing of the endpoint's health; attempted: False for a push that was never begun nor
+    journalled: it does not count as one.
     """
 
     id: str
@@ -101,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitRequested:
-    """The head of an answer told to wait so long from now on; its outcome, which tells it too, is later."""
+    """The head of an answer asked for a wait of so many seconds; the outcome, with the same wait, follows."""
 
     endpoint: str
     wait: float
@@ -109,9 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SiblingCall:
-    """A call that another process of this relay began: it counts as ours, and its outcomes come as ours do.
+    """A call that another process of this relay began.
 
-    items: id, push and topic type of each notification in it.
+    It counts like a call of this process, and its outcomes arrive in the same way. items: id, push number and
+    topic type of each notification in it.
     """
 
     endpoint: str
@@ -120,9 +124,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SiblingKeyClaim:
-    """Another process of this relay owes a notification of that key in order, or owes it no more.
+    """Another process of this relay owes a notification of that ordered key, or no longer does (released).
 
-    rest: until when the key rests, a time of the clock.
+    rests_until: time of the clock before which no push of that key may start.
     """
 
     key: str
@@ -133,33 +137,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The client has taken the notification back."""
+    """The client has withdrawn the notification."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A time asked for has come."""
+    """A timer set by SetTimer has fired."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; what is held keeps the terms that it came with."""
+    """New settings apply from now on; notifications already held keep the terms of their acceptance."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """This relay's process ends at that time of the clock; another takes over what it owes."""
+    """This process ends at that time of the clock; another process takes over the notifications it owes."""
 
     until: float
 
 
 @dataclass(frozen=True, slots=True)
 class Push:
-    """Send the notification to the endpoint; timeout in seconds, begin: the same for its first byte."""
+    """Send the notification to the endpoint.
+
+    timeout: seconds for the whole call; begin_timeout: seconds within which its first byte must be written.
+    """
 
     id: str
     endpoint: str
@@ -169,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for a push."""
+    """Cancel a push in flight."""
 
     id: str
     push: int
@@ -177,21 +184,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelUnsent:
-    """End the calls to the endpoint of which nothing is written yet: they count as not sent."""
+    """Cancel the calls to the endpoint of which nothing is written yet; they count as not sent."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the connections to the endpoint that stand idle."""
+    """Close idle connections to the endpoint."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Throttle:
-    """End the notification undelivered: trying again is harmless, after come_back if that is not 0."""
+    """End the notification undelivered, where a repeat by the client is harmless.
+
+    retry_after: seconds that the client should wait before it, 0 if not known.
+    """
 
     id: str
     retry_after: float = 0.0
@@ -199,21 +209,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Expire:
-    """End the notification; nothing is promised of its effect."""
+    """End the notification with an unknown effect: a push of it may have run."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Call again after so long."""
+    """Deliver TimerFired after so many seconds."""
 
     after: float
 
 
 @dataclass(frozen=True, slots=True)
 class AskForList:
-    """Ask the registry for changes from now on, the whole list first if this relay is behind."""
+    """Ask the registry for changes from now on, and first for the whole list if this relay is behind."""
 
 
 Event = (
--- a/ryestack/interface/terms.py
+++ b/ryestack/interface/terms.py
@@ -1,6 +1,6 @@
-"""The terms that a relay works under: what its settings and its list tell, as types.
+"""The terms that a relay works under, from its settings and its endpoint list, as types.
 
-Times are seconds with fractions, names are kept as they came.
+Times are seconds as floats; names are kept as received.
 """
 
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a notification does."""
+    """The effect of delivering a notification more than once."""
 
     REPEATABLE = "repeatable"
     COLLAPSIBLE = "collapsible"
@@ -16,7 +16,7 @@
 
 
 class LateBenefit(Enum):
-    """How benefit falls after the latency objective."""
+    """How the benefit of a delivery falls after the latency objective: linearly, or by halves."""
 
     LINE = "line"
     HALVES = "halves"
@@ -24,7 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TopicType:
-    """A topic type's terms; group names what a repeat of a collapsible one may reach."""
+    """A topic type's terms.
+
+    objective, ttl, window: seconds; window: how long after the first push a collapsible notification may be
+    repeated; group: which endpoints collapse such a repeat ("all", those of one "zone", or of one "cell");
+    late_share: the share of the benefit that is left at the TTL.
+    """
 
     name: str
     effect: Effect
@@ -39,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and what the whole fleet takes of it within its share, a second."""
+    """A customer and its share cap: notifications a second that the whole fleet takes at full benefit."""
 
     name: str
     quota: float
@@ -47,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of destination."""
+    """A kind of destination.
+
+    per_route: each route has a limit and outages of its own; batch: notifications that one call may carry.
+    """
 
     name: str
     per_route: bool = False
@@ -56,7 +64,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the six rules."""
+    """Parameters of the six rules.
+
+    cold_share: the share of its capacity that a destination has just after an outage; cold_time: seconds
+    until it has all of it; overload_factor, fall_time: calls above that capacity by this factor, for so many
+    seconds, bring it down again; key_rest: seconds until the next notification of an ordered key, after a
+    push that may still run.
+    """
 
     cold_share: float
     cold_time: float
@@ -67,7 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a relay is told when it starts."""
+    """All settings of a relay.
+
+    slots: calls in flight at once; max_open: notifications held at once; over_share_benefit: the share of the
+    benefit past a customer's share cap; list_has_rates: the endpoint list gives rates; rough_rates: those are
+    approximate; may_cancel: pushes may be cancelled; max_retry_after: the longest time to come back that a
+    throttled client is given, 0 for none; asks_for_list: the list is requested from a registry, not pushed;
+    connection_idle: seconds after which an idle connection closes; quantum: least seconds between two rounds.
+    """
 
     topic_types: tuple[TopicType, ...]
     kinds: tuple[Kind, ...]
--- a/ryestack/settings.py
+++ b/ryestack/settings.py
@@ -1,30 +1,36 @@
-"""The settings that a relay is told when it starts, from their JSON object: the bench's first message
-holds it, and so does a live relay's configuration.
+"""Reads a relay's settings from their JSON object.
+
+The object is part of a relay's configuration file, and of the bench's first message.
 """
 
 from math import inf
 
-from . import interface as it
+from . import interface
 
-GROUPS = ("all", "zone", "cell")  # cell: no deployment has it; it gets no repeat
-MAX_RATE = 1e9  # calls a second: what tells more cannot be read
-EFFECTS = {"safe": it.Effect.REPEATABLE, "keyed": it.Effect.COLLAPSIBLE, "unsafe": it.Effect.ONCE_ONLY}
+# Which endpoints collapse the repeat of a collapsible notification. No deployment uses "cell": no repeats.
+GROUPS = ("all", "zone", "cell")
+MAX_RATE = 1e9  # calls a second; a larger value counts as not readable
+EFFECTS = {
+    "safe": interface.Effect.REPEATABLE,
+    "keyed": interface.Effect.COLLAPSIBLE,
+    "unsafe": interface.Effect.ONCE_ONLY,
+}
 
 
 class BadSettings(Exception):
-    """Settings that cannot be used; the text names the key."""
+    """The settings cannot be used; the text names the key."""
 
 
 class InconsistentSettings(BadSettings):
-    """Settings of which each can be read, but that do not go together."""
+    """Each setting can be read, but they do not fit together."""
 
 
-def read_settings(options: dict) -> it.Settings:
-    """Settings from `options`; unknown keys are passed over, a missing required one is named."""
+def read_settings(options: dict) -> interface.Settings:
+    """Settings from `options`; unknown keys are ignored. Raises BadSettings, which names a missing key."""
     allowed, rules = _need(options, "allowed", dict), _need(options, "rules", dict)
     specifics = _need(options, "specifics", dict)
     names = _need(options, "kinds", list)
-    return it.Settings(
+    return interface.Settings(
         topic_types=tuple(_topic_type(row) for row in _need(options, "grades", list)),
         customers=tuple(_customer(row) for row in options.get("projects") or []),
         kinds=_kinds(names, specifics),
@@ -33,7 +39,9 @@
         max_open=_need(allowed, "maxOpen", int, "allowed"),
         relays=_number(options, "balancers", "options", 1) or 1,
         over_share_benefit=_number(options, "overShareWorth", "options", 1.0),
-        late_benefit=it.LateBenefit.HALVES if specifics.get("late") == "halves" else it.LateBenefit.LINE,
+        late_benefit=interface.LateBenefit.HALVES
+        if specifics.get("late") == "halves"
+        else interface.LateBenefit.LINE,
         list_has_rates=options.get("weights") in ("nominal", "rough"),
         rough_rates=options.get("weights") == "rough",
         max_pushes=_above_0(_need(allowed, "maxAttempts", int, "allowed"), "allowed.maxAttempts"),
@@ -49,7 +57,7 @@
 
 
 def _need(table, key: str, kinds=(int, float), where: str = "options"):
-    """A value that must be there and of that kind; a number must be finite and not below 0."""
+    """A required value of one of the given types; a number must be finite and not negative."""
     value = table.get(key) if isinstance(table, dict) else None
     wrong = not isinstance(value, kinds) or isinstance(value, bool)
     if wrong or (isinstance(value, (int, float)) and not 0.0 <= value < inf):
@@ -68,17 +76,17 @@
 
 
 def _seconds(table: dict, key: str, where: str, default: float | None = None) -> float:
-    """From milliseconds; without a default the key must be there."""
+    """Seconds from a value in milliseconds; without a default the key is required."""
     if default is not None and table.get(key) is None:
         return default
     return _need(table, key, where=where) / 1000.0
 
 
-def _topic_type(row) -> it.TopicType:
+def _topic_type(row) -> interface.TopicType:
     effect = _need(row, "effect", str, "grades[]")
     if effect not in EFFECTS:
         raise BadSettings(f"grades[].effect {effect!r} is unknown")
-    return it.TopicType(
+    return interface.TopicType(
         name=_need(row, "name", str, "grades[]"),
         effect=EFFECTS[effect],
         objective=_seconds(row, "targetMs", "grades[]"),
@@ -91,21 +99,23 @@
     )
 
 
-def _customer(row) -> it.Customer:
-    return it.Customer(_need(row, "name", str, "projects[]"), _number(row, "quotaPerS", "projects[]", 0.0))
+def _customer(row) -> interface.Customer:
+    return interface.Customer(
+        _need(row, "name", str, "projects[]"), _number(row, "quotaPerS", "projects[]", 0.0)
+    )
 
 
-def _kinds(names: list, specifics: dict) -> tuple[it.Kind, ...]:
-    """Lists beside the names may be shorter, or not there."""
-    apart, batch = specifics.get("routesApart") or [], specifics.get("kindBatch") or []
+def _kinds(names: list, specifics: dict) -> tuple[interface.Kind, ...]:
+    """Kinds of destinations; the lists that run parallel to the names may be shorter or missing."""
+    per_route, batch = specifics.get("routesApart") or [], specifics.get("kindBatch") or []
     return tuple(
-        it.Kind(name, bool(apart[i : i + 1] == [True]), (batch[i : i + 1] or [1])[0])
+        interface.Kind(name, bool(per_route[i : i + 1] == [True]), (batch[i : i + 1] or [1])[0])
         for i, name in enumerate(names)
     )
 
 
-def _rules(rules: dict) -> it.Rules:
-    return it.Rules(
+def _rules(rules: dict) -> interface.Rules:
+    return interface.Rules(
         cold_share=_need(rules, "coldShare", where="rules"),
         cold_time=_seconds(rules, "coldMs", "rules"),
         overload_factor=_need(rules, "overloadFactor", where="rules"),
@@ -115,29 +125,37 @@
 
 
 def first_missing_key(new, old, where: str = "") -> str:
-    """The first key that old has and new lacks, "" if none; in rows of a list, one that all alike have."""
+    """The path of the first key that `old` has and `new` lacks, "" if none.
+
+    In a list of rows, a key counts if all old rows with the same effect have it.
+    """
     if isinstance(old, dict):
         for key, value in old.items():
-            at = f"{where}.{key}" if where else key
+            path = f"{where}.{key}" if where else key
             if value is not None and (not isinstance(new, dict) or new.get(key) is None):
-                return at
-            if deeper := first_missing_key(new.get(key), value, at):
-                return deeper
+                return path
+            if missing := first_missing_key(new.get(key), value, path):
+                return missing
     elif (
         isinstance(old, list) and isinstance(new, list) and all(isinstance(row, dict) for row in [*old, *new])
     ):
         for row in new:
-            alike = [o for o in old if o.get("effect") == row.get("effect")] or old
-            common = [key for key in (alike[0] if alike else ()) if all(key in o for o in alike)]
+            similar = [each for each in old if each.get("effect") == row.get("effect")] or old
+            common = [key for key in (similar[0] if similar else ()) if all(key in each for each in similar)]
             if gone := [
-                key for key in common if row.get(key) is None and all(o[key] is not None for o in alike)
+                key
+                for key in common
+                if row.get(key) is None and all(each[key] is not None for each in similar)
             ]:
                 return f"{where}[].{gone[0]}"
     return ""
 
 
 def check_shape(options: dict) -> None:
-    """Refuses settings that mix two shapes of deployment: each would be read, and one passed over unseen."""
+    """Raises InconsistentSettings if the settings mix two shapes of deployment.
+
+    Each of them could be read, and one would be ignored without notice.
+    """
 
     def refuse(key, why):
         raise InconsistentSettings(f"options.{key} {why}")
@@ -159,20 +177,20 @@
                 refuse("grades[].windowMs", "is missing, but grades[].group is zone")
             if len(zones) < 2:
                 refuse("zones", "must name two or more, as grades[].group is zone")
-    counted = {"routesApart": "kinds", "kindBatch": "kinds", "feeByZone": "zones"}
-    for key, of in counted.items():
-        found, wanted = specifics.get(key), options.get(of) or []
+    parallel = {"routesApart": "kinds", "kindBatch": "kinds", "feeByZone": "zones"}
+    for key, names_key in parallel.items():
+        found, wanted = specifics.get(key), options.get(names_key) or []
         if found and len(found) != len(wanted):
-            refuse(f"specifics.{key}", f"has {len(found)} entries, but {of} has {len(wanted)}")
+            refuse(f"specifics.{key}", f"has {len(found)} entries, but {names_key} has {len(wanted)}")
 
 
 def limit_of(report: dict) -> float:
-    """The limit in calls a second that an answer's report tells, 0 if none."""
-    told = report.get("x1")
-    return float(told) if type(told) in (int, float) and 0.0 < told <= MAX_RATE else 0.0
+    """The rate limit that an answer reports, in calls a second; 0 if none."""
+    limit = report.get("x1")
+    return float(limit) if type(limit) in (int, float) and 0.0 < limit <= MAX_RATE else 0.0
 
 
 def limit_left_of(report: dict) -> float:
-    """The share of that limit which is left, 1 if none is told: a share alone says nothing."""
-    told = report.get("x0")
-    return float(told) if type(told) in (int, float) and 0.0 <= told <= 1.0 and limit_of(report) else 1.0
+    """The share of the reported limit that is left; 1 if not reported, or without a limit."""
+    left = report.get("x0")
+    return float(left) if type(left) in (int, float) and 0.0 <= left <= 1.0 and limit_of(report) else 1.0
