--- a/ryestack/brain/outcomes.py
+++ b/ryestack/brain/outcomes.py
@@ -4,7 +4,7 @@
 
 from ..interface import Cancel, Result
 from .guard import ONCE
-from .walk import MAY_STILL_RUN, NEVER_RAN, Walk
+from .notifications import MAY_STILL_RUN, NEVER_RAN, Walk
 
 
 class Outcomes(Walk):
--- a/ryestack/brain/pacer.py
+++ b/ryestack/brain/rate_limiter.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from .measures import Flow, Tally
+from .estimators import Flow, Tally
 
 
 class Pacer:
--- a/ryestack/brain/rounds.py
+++ b/ryestack/brain/rounds.py
@@ -6,11 +6,11 @@
 from math import inf
 
 from .. import interface as it
+from .estimators import Habit, Times
 from .guard import AGAIN, ONCE
-from .measures import Habit, Times
+from .notifications import Ntf
 from .outcomes import Outcomes
 from .routes import Call
-from .walk import Ntf
 
 
 class Brain(Outcomes):
--- a/ryestack/brain/routes.py
+++ b/ryestack/brain/routes.py
@@ -4,8 +4,8 @@
 from math import inf
 
 from .. import interface as it
-from .measures import Tally, Times
-from .pacer import Pacer
+from .estimators import Tally, Times
+from .rate_limiter import Pacer
 
 # A route: (states, input, next state, effect); what is not listed changes nothing.
 ROUTE_ROWS = (
--- a/ryestack/lifecycle/learned_state.py
+++ b/ryestack/lifecycle/learned_state.py
@@ -7,8 +7,8 @@
 
 from .. import interface as it
 from ..brain import Brain
-from ..brain.measures import Flow, Habit, Tally, Times
-from ..brain.pacer import Pacer
+from ..brain.estimators import Flow, Habit, Tally, Times
+from ..brain.rate_limiter import Pacer
 from ..brain.routes import Dest, Route
 
 KEPT = {
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from ryestack import interface as it
-from ryestack.brain.pacer import Pacer
+from ryestack.brain.rate_limiter import Pacer
 from ryestack.brain.routes import Call
 from ryestack.interface import Result
 
