--- a/ryestack/brain/estimators.py
+++ b/ryestack/brain/estimators.py
@@ -1,60 +1,99 @@
-"""Measures of time and rate."""
+"""Estimators of durations, rates and failures from recent observations. Times are seconds."""
 
 from bisect import bisect_left
 from itertools import accumulate
 
 
-class Times:  # how long delivered pushes took: a few coarse bins, halved now and then
-    EDGES = [0.05 * 1.5**i for i in range(18)]  # half as far again each; the last is some 50 s
-    FULL = 64  # halved at so many, to follow a change within minutes
-    PRIOR = 3.0  # what all destinations took counts for so many: a few of its own show one's pace
+class DurationHistogram:
+    """How long delivered pushes took, in a few coarse bins that are halved from time to time."""
+
+    BIN_EDGES_S = [0.05 * 1.5**i for i in range(18)]  # each half as long again; the last is about 50 s
+    MAX_COUNT = 64  # samples; all bins are halved then, so that a change shows within minutes
+    PRIOR_COUNT = 3.0  # samples that the prior weighs: a few of its own show a destination's pace
 
     def __init__(self, prior=None):
-        self.bins, self.count, self.found, self.prior = [0.0] * (len(self.EDGES) + 1), 0.0, {}, prior or self
+        """prior: the histogram of all destinations, which fills in while samples are few."""
+        self.bins, self.count = [0.0] * (len(self.BIN_EDGES_S) + 1), 0.0
+        self.cached, self.prior = {}, prior or self
 
     def add(self, seconds):
-        self.bins[bisect_left(self.EDGES, seconds)] += 1.0
-        self.count, self.found = self.count + 1.0, {}
-        if self.count >= self.FULL:
+        """Adds one duration."""
+        self.bins[bisect_left(self.BIN_EDGES_S, seconds)] += 1.0
+        self.count, self.cached = self.count + 1.0, {}
+        if self.count >= self.MAX_COUNT:
             self.bins, self.count = [b / 2 for b in self.bins], self.count / 2
 
-    def quantile(self, part):
-        if part not in self.found:
-            weight, pool = self.PRIOR / self.prior.count, self.prior.bins
+    def quantile(self, fraction):
+        """The upper edge in seconds of the bin in which that fraction of all durations is reached."""
+        if fraction not in self.cached:
+            weight, pool = self.PRIOR_COUNT / self.prior.count, self.prior.bins
             reached = list(accumulate(b + p * weight for b, p in zip(self.bins, pool, strict=True)))
-            self.found[part] = self.EDGES[min(bisect_left(reached, part * reached[-1]), len(self.EDGES) - 1)]
-        return self.found[part]
+            self.cached[fraction] = self.BIN_EDGES_S[
+                min(bisect_left(reached, fraction * reached[-1]), len(self.BIN_EDGES_S) - 1)
+            ]
+        return self.cached[fraction]
+
+
+class FailureCounter:
+    """Consecutive failures, and recent failures against recent deliveries.
 
+    Failures in a row prove no outage where deliveries are many.
+    """
 
-class Tally:  # failures in a row, and of late against deliveries: a row among many proves no outage
-    ROW, HALF = 3, 1.0  # the design's circuit; seconds: a full outage shows after as long, whatever the rate
+    # Failures in a row, as for the circuit breaker; seconds: a full outage shows after about one half-life,
+    # whatever the rate.
+    CONSECUTIVE_LIMIT, HALF_LIFE_S = 3, 1.0
 
-    row, good, bad, at = 0, 0.0, 0.0, 0.0
+    consecutive, successes, failures, updated_at = 0, 0.0, 0.0, 0.0
 
-    def out(self):
-        return self.row >= self.ROW and self.bad >= self.good
+    def proves_outage(self):
+        """Whether there are enough failures in a row, and recently no fewer failures than deliveries."""
+        return self.consecutive >= self.CONSECUTIVE_LIMIT and self.failures >= self.successes
 
-    def add(self, now, good):
-        fade, self.row = 0.5 ** ((now - self.at) / self.HALF), 0 if good else self.row + 1
-        self.good, self.bad, self.at = self.good * fade + good, self.bad * fade + (not good), now
+    def add(self, now, success):
+        """Adds a delivery, or a failure."""
+        decay = 0.5 ** ((now - self.updated_at) / self.HALF_LIFE_S)
+        self.consecutive = 0 if success else self.consecutive + 1
+        self.successes, self.failures = (
+            self.successes * decay + success,
+            self.failures * decay + (not success),
+        )
+        self.updated_at = now
 
 
-class Habit:  # whether refused calls use limits of a kind up: refusals against deliveries at nothing left
-    PROVEN, AGAINST, MOST = 3, 3, 6  # a mere rate that is asked for thrice still delivers one in three
+class RefusalCostDetector:
+    """Learns for a kind of destination whether refused calls use up its limits.
 
-    score, counts = 0, False
+    It weighs refusals against deliveries at times when nothing of the limit was left.
+    """
+
+    # A limit that refused calls do not use up still delivers one call in three at three times its rate:
+    # a delivery weighs as much as three refusals.
+    PROVEN_SCORE, DELIVERY_WEIGHT, MAX_SCORE = 3, 3, 6
+
+    score, proven = 0, False
 
     def add(self, refused):
-        self.score = max(-self.MOST, min(self.MOST, self.score + (1 if refused else -self.AGAINST)))
-        self.counts = self.score >= self.PROVEN or (self.counts and self.score > -self.MOST)
+        """Adds a refusal or a delivery at a used-up limit."""
+        self.score = max(
+            -self.MAX_SCORE, min(self.MAX_SCORE, self.score + (1 if refused else -self.DELIVERY_WEIGHT))
+        )
+        self.proven = self.score >= self.PROVEN_SCORE or (self.proven and self.score > -self.MAX_SCORE)
+
 
+class DecayingRate:
+    """How often something happened recently, in events a second."""
 
-class Flow:  # how often something happened of late, a second
-    def __init__(self, half):
-        self.sum, self.at, self.half = 0.0, 0.0, half
+    def __init__(self, half_life):
+        self.weighted_count, self.updated_at, self.half_life = 0.0, 0.0, half_life
 
     def add(self, now):
-        self.sum, self.at = 1.0 + self.sum * 0.5 ** ((now - self.at) / self.half), now
+        """Counts one event."""
+        self.weighted_count = 1.0 + self.weighted_count * 0.5 ** ((now - self.updated_at) / self.half_life)
+        self.updated_at = now
 
     def rate(self, now):
-        return self.sum * 0.5 ** ((now - self.at) / self.half) * 0.693 / self.half
+        """Events a second (0.693 is the natural logarithm of 2)."""
+        return (
+            self.weighted_count * 0.5 ** ((now - self.updated_at) / self.half_life) * 0.693 / self.half_life
+        )
--- a/ryestack/brain/guard.py
+++ b/ryestack/brain/guard.py
@@ -1,52 +1,74 @@
-"""What may be sent, repeated and handed back now: the rules, in one place. All pushes and ends pass here."""
+"""The rules for what may be sent, repeated and answered now, in one place.
+
+All pushes and final answers pass here.
+"""
 
 from math import inf
 
-from .. import interface as it
-from .routes import Circuits
+from .. import interface
+from .routes import CircuitBreakers
+
+ONCE, AGAIN = interface.Effect.ONCE_ONLY, interface.Effect.REPEATABLE
 
-ONCE, AGAIN = it.Effect.ONCE_ONLY, it.Effect.REPEATABLE
 
+class Guard(CircuitBreakers):
+    """Checks of rules 1, 2, 3, 5 and 6; each is stated for the time of the current round."""
 
-class Guard(Circuits):
-    EARLY = 0.05  # seconds that we count late: a time is over that much before it is
+    DEADLINE_MARGIN_S = 0.05  # seconds by which each deadline is brought forward, for delays in this process
 
-    def may_push(self, ntf, route):
+    def may_push(self, held, route):
         """Whether a push may be started now (rules 1, 2, 3, 5 and 6)."""
-        if ntf.state != "parked" or ntf.out or self.now + self.EARLY >= ntf.due or ntf.pushes >= ntf.most:
-            return False  # rule 1, and never two out
-        if not self.takes_new(route) or self.cut_short(ntf):
+        if (
+            held.state != "parked"
+            or held.in_flight
+            or self.now + self.DEADLINE_MARGIN_S >= held.due
+            or held.pushes >= held.max_pushes
+        ):
+            return False  # rule 1, and never two pushes of one notification in flight
+        if not self.takes_new(route) or self.cut_short(held):
             return False
-        if ntf.key and not self.is_first_of_key(ntf):
+        if held.key and not self.is_first_of_key(held):
             return False
-        return ntf.maybe_at == inf or self.repeats(ntf, route.zone)
+        return held.may_have_run_at == inf or self.may_repeat(held, route.zone)
 
     def takes_new(self, route):
-        """Rules 3 and 6: it does not drain, as far as the list or a delivery says, and told no wait."""
-        stale = self.now >= max(self.sure, route.good_at) + self.TOLD
-        return not (route.state == "draining" or stale or self.now < route.pacer.wait_until)
-
-    def cut_short(self, ntf):
-        """Whether this process ends before a push could: it may have run then (rule 2)."""
-        return self.now + ntf.dest.expected() >= self.leaves
-
-    def is_first_of_key(self, ntf):
-        """Rule 5: the first of its key, after the rest."""
-        turns, rest = self.keys[ntf.key]
-        return next(iter(turns)) == ntf.id and (self.now >= rest or ntf.pushes > 0)
-
-    def repeats(self, ntf, zone):
-        """Rule 2, of one that may have run: whether it may go to that zone again."""
-        if ntf.topic.effect is not it.Effect.COLLAPSIBLE:
-            return ntf.topic.effect is AGAIN
-        drops = ntf.topic.group == "all" or (ntf.topic.group == "zone" and zone == ntf.maybe_zone != "")
-        return drops and self.begin_in(ntf) > 0.0
-
-    def begin_in(self, ntf):
-        """Seconds in which a push may begin, also one that connects late: a little less than its window."""
-        return ntf.maybe_at - self.now + (inf if ntf.topic.effect is AGAIN else ntf.topic.window - self.EARLY)
-
-    def may_throttle(self, ntf):
-        """Whether its client may be told that trying again is harmless."""
-        effect, never = ntf.topic.effect, ntf.maybe_at == inf
-        return never or effect is AGAIN or (effect is not ONCE and ntf.topic.group == "all")
+        """Rules 3 and 6: the endpoint is not draining and asked for no wait that still lasts.
+
+        A list that was not confirmed for too long counts as draining it, unless it delivered since then.
+        """
+        stale = self.now >= max(self.list_confirmed, route.delivered_sent) + self.MAX_LIST_AGE_S
+        return not (route.state == "draining" or stale or self.now < route.limiter.wait_until)
+
+    def cut_short(self, held):
+        """Whether this process ends before a push could, after which it may have run (rule 2)."""
+        return self.now + held.dest.expected_duration() >= self.ends_at
+
+    def is_first_of_key(self, held):
+        """Rule 5: the first of its key, and not before the key's rest is over."""
+        queue, rests_until = self.keys[held.key]
+        return next(iter(queue)) == held.id and (self.now >= rests_until or held.pushes > 0)
+
+    def may_repeat(self, held, zone):
+        """Rule 2: whether a notification that may have run may be pushed again, to that zone."""
+        if held.topic.effect is not interface.Effect.COLLAPSIBLE:
+            return held.topic.effect is AGAIN
+        collapses = held.topic.group == "all" or (
+            held.topic.group == "zone" and zone == held.may_have_run_zone != ""
+        )
+        return collapses and self.begin_timeout(held) > 0.0
+
+    def begin_timeout(self, held):
+        """Seconds within which a push may begin, also on a connection that is set up late.
+
+        For a collapsible notification that may have run, its window less the margin.
+        """
+        return (
+            held.may_have_run_at
+            - self.now
+            + (inf if held.topic.effect is AGAIN else held.topic.window - self.DEADLINE_MARGIN_S)
+        )
+
+    def may_throttle(self, held):
+        """Whether a repeat by the client is harmless."""
+        effect, never_ran = held.topic.effect, held.may_have_run_at == inf
+        return never_ran or effect is AGAIN or (effect is not ONCE and held.topic.group == "all")
--- a/ryestack/brain/invariants.py
+++ b/ryestack/brain/invariants.py
@@ -1,22 +1,22 @@
-"""The rules once more, checked at run time against what is written and told, not against what was decided.
+"""Run-time checks of the delivery rules against the journal and received messages.
 
-The decisions (`guard`) go by their own state. Here the same rules are read from the journal's facts of a
-notification and from what endpoints and the registry told, just before a push is made or an end is told. What
-breaks one is counted, logged and not done. Pure: times are arguments.
+The decisions (`guard`) go by their own state. Here the same rules are checked against the journal's record
+of a notification, and against messages from endpoints and the registry, just before a push is made or a final
+answer is sent. One that breaks a rule is counted, logged and not made. Pure: times are arguments.
 """
 
 from collections import Counter
 from enum import Enum
 from math import inf
 
-from .. import interface as it
+from .. import interface
 
-MOST_DRAINED = 10_000  # names of endpoints that drain or are gone: the oldest are forgotten
-MOST_WAITS = 10_000  # past so many those that are over are dropped
+MAX_DRAINED = 10_000  # endpoints that drain or are gone; past that, the oldest are forgotten
+MAX_WAITS = 10_000  # past that, waits that are over are dropped
 
 
 class Rule(Enum):
-    """What may not be; the words are those of the counter and of the log."""
+    """Violations; the values are the counter's labels and appear in the log."""
 
     AFTER_ITS_END = "sent after its end"
     AFTER_ITS_TIME = "sent after its time"
@@ -30,29 +30,32 @@
 
 
 class Invariants:
-    """counts: violations by rule, since the start of the process."""
+    """Follows events and pushes, and checks pushes and final answers.
+
+    counts: violations by rule since the start of the process.
+    """
 
     def __init__(self) -> None:
         self.counts: Counter[Rule] = Counter()
         self.ready: set[str] = set()
-        self.drained: dict[str, None] = {}  # the oldest first
-        self.waits: dict[str, float] = {}  # endpoint -> until when, a time of the clock
-        self.out: dict[str, set[int]] = {}  # notification -> its pushes that are out
+        self.drained: dict[str, None] = {}  # oldest first
+        self.waits: dict[str, float] = {}  # endpoint -> end of its wait, a time of the clock
+        self.in_flight: dict[str, set[int]] = {}  # notification -> its pushes in flight
         self.ends_at = inf
 
-    # -- what is told ---------------------------------------------------------------------------------
+    # -- events ---------------------------------------------------------------------------------------
 
-    def hear(self, event, now: float) -> None:
-        """An event, before the decisions hear it."""
-        if isinstance(event, it.ListUpdate):
-            self._hear_list(event)
-        elif isinstance(event, it.WaitRequested | it.Outcome):
-            self._hear_wait(event.endpoint, event.wait, now)
-        elif isinstance(event, it.ShuttingDown):
+    def observe(self, event, now: float) -> None:
+        """Records an event, before the decisions receive it."""
+        if isinstance(event, interface.ListUpdate):
+            self._observe_list(event)
+        elif isinstance(event, interface.WaitRequested | interface.Outcome):
+            self._observe_wait(event.endpoint, event.wait, now)
+        elif isinstance(event, interface.ShuttingDown):
             self.ends_at = event.until
 
-    def _hear_list(self, update: it.ListUpdate) -> None:
-        ready = {each.id for each in update.endpoints if each.status is it.EndpointStatus.READY}
+    def _observe_list(self, update: interface.ListUpdate) -> None:
+        ready = {each.id for each in update.endpoints if each.status is interface.EndpointStatus.READY}
         gone = {each.id for each in update.endpoints} - ready
         if update.whole:
             gone |= self.ready - ready
@@ -60,41 +63,50 @@
         for name in ready:
             self.drained.pop(name, None)
         self.drained |= dict.fromkeys(gone)
-        while len(self.drained) > MOST_DRAINED:
+        while len(self.drained) > MAX_DRAINED:
             del self.drained[next(iter(self.drained))]
 
-    def _hear_wait(self, endpoint: str, wait: float, now: float) -> None:
+    def _observe_wait(self, endpoint: str, wait: float, now: float) -> None:
         if wait > 0.0:
             self.waits[endpoint] = max(now + wait, self.waits.get(endpoint, 0.0))
-        if len(self.waits) > MOST_WAITS:
+        if len(self.waits) > MAX_WAITS:
             self.waits = {name: until for name, until in self.waits.items() if until > now}
 
     def started(self, name: str, push: int) -> None:
-        self.out.setdefault(name, set()).add(push)
+        """Records that a push is in flight."""
+        self.in_flight.setdefault(name, set()).add(push)
 
     def ended(self, name: str, push: int) -> None:
-        pushes = self.out.get(name, set())
+        """Records that a push has ended."""
+        pushes = self.in_flight.get(name, set())
         pushes.discard(push)
         if not pushes:
-            self.out.pop(name, None)
+            self.in_flight.pop(name, None)
 
     # -- checks ---------------------------------------------------------------------------------------
 
     def check_push(
-        self, push: it.Push, owed, topic: it.TopicType | None, now: float, due: float, maybe_at: float
+        self,
+        push: interface.Push,
+        owed,
+        topic: interface.TopicType | None,
+        now: float,
+        due: float,
+        may_have_run_at: float,
     ):
         """The first rule that this push would break, None if it may be made.
 
-        owed: as the journal has it; topic: the terms that it was taken under, None if unknown; due: the end
-        of its time; maybe_at: when the first push went that may have run, inf if none. Times of the clock.
+        owed: the notification as the journal has it; topic: the terms of its acceptance, None if unknown;
+        due: its deadline; may_have_run_at: when the first push that may have run was sent, inf if none. All
+        times are of the clock.
         """
         if owed.notice:
             return self._count(Rule.AFTER_ITS_END)
         if now >= due:
             return self._count(Rule.AFTER_ITS_TIME)
-        if self.out.get(push.id):
+        if self.in_flight.get(push.id):
             return self._count(Rule.TWO_OUT)
-        if maybe_at < inf and topic is not None and not self._repeats(topic, now, maybe_at):
+        if may_have_run_at < inf and topic is not None and not self._repeats(topic, now, may_have_run_at):
             return self._count(Rule.REPEATED)
         if push.endpoint in self.drained:
             return self._count(Rule.TO_DRAINED)
@@ -103,19 +115,21 @@
         return self._count(Rule.WHILE_ENDING) if now >= self.ends_at else None
 
     @staticmethod
-    def _repeats(topic: it.TopicType, now: float, maybe_at: float) -> bool:
-        if topic.effect is it.Effect.REPEATABLE:
+    def _repeats(topic: interface.TopicType, now: float, may_have_run_at: float) -> bool:
+        if topic.effect is interface.Effect.REPEATABLE:
             return True
         return (
-            topic.effect is it.Effect.COLLAPSIBLE and topic.group != "cell" and now < maybe_at + topic.window
+            topic.effect is interface.Effect.COLLAPSIBLE
+            and topic.group != "cell"
+            and now < may_have_run_at + topic.window
         )
 
     def check_end(self, owed) -> Rule | None:
-        """Whether an end may be told of it: TWO_ENDS if one is owed already."""
+        """TWO_ENDS if the notification has a final answer already, None if one may be sent."""
         return self._count(Rule.TWO_ENDS) if owed.notice else None
 
     def unanswered(self) -> Rule:
-        """A client's connection was ended by us over a request that was read."""
+        """Counts a client's connection that was closed without an answer to a request that was read."""
         return self._count(Rule.UNANSWERED)
 
     def _count(self, rule: Rule) -> Rule:
--- a/ryestack/brain/outcomes.py
+++ b/ryestack/brain/outcomes.py
@@ -1,111 +1,154 @@
-"""What calls came to, or did not come to in time."""
+"""Outcomes of calls, and of calls that have none in time."""
 
 from math import inf
 
 from ..interface import Cancel, Result
 from .guard import ONCE
-from .notifications import MAY_STILL_RUN, NEVER_RAN, Walk
+from .notifications import MAY_STILL_RUN, NEVER_RAN, Notifications
 
 
-class Outcomes(Walk):
-    REST_LANE = 20.0  # a sister serves the topic type meanwhile; few calls each, and each trial may lose one
-    SHORT = 60.0  # seconds after a failed connection: one relay meets few, an outage's cost a handshake each
-    SHARE, SHARE_SICK = 0.75, 0.5  # of the slots, for a destination: the design's
+class Outcomes(Notifications):
+    """Applies outcomes to notifications, routes, limiters and circuits."""
 
-    def on_outcome(self, o):
-        if (o.id, o.push) not in self.out:
+    # Seconds for which other routes serve a topic type that failed at one: calls of a type are few, and each
+    # trial may lose one.
+    TOPIC_AVOIDED_S = 20.0
+    # Seconds after a failed connection for which a kind counts as short of connections: one relay meets few
+    # of them, and those of an outage would cost a handshake each.
+    CONNECTIONS_SHORT_S = 60.0
+    # Share cap: part of all slots that one destination may hold, and while it fails.
+    SLOT_SHARE, FAILING_SLOT_SHARE = 0.75, 0.5
+
+    def on_outcome(self, outcome):
+        """Applies the outcome of one push."""
+        if (outcome.id, outcome.push) not in self.in_flight:
             return
-        call, ntf = self.out.pop((o.id, o.push))
-        route, first, call.left = call.route, call.left == len(call.items), call.left - 1
-        if not call.left:
+        call, held = self.in_flight.pop((outcome.id, outcome.push))
+        route, first, call.pending = call.route, call.pending == len(call.items), call.pending - 1
+        if not call.pending:
             self.slots, route.dest.calls = self.slots + 1, route.dest.calls - 1
-            route.calls -= not call.late
-            self.late.pop(call, None)
-            self.idle[route.id] = route
-        self.touch(route.dest)
-        for each in ([route] if route.dest.kind.per_route else route.dest.order) if o.limit and first else ():
-            each.pacer.told, each.pacer.rough = max(0.1, o.limit), 1.0
-            each.pacer.left(o.limit_left, self.now)
-        self.on_wait(o)
-        if o.result is Result.DELIVERED:
-            route.dest.took(o.elapsed)
-            self.times.add(o.elapsed)
+            route.calls -= not call.is_late
+            self.late_calls.pop(call, None)
+            self.idle_routes[route.id] = route
+        self.mark_changed(route.dest)
+        for each in (
+            ([route] if route.dest.kind.per_route else route.dest.route_list)
+            if outcome.limit and first
+            else ()
+        ):
+            each.limiter.reported_rate, each.limiter.rate_error = max(0.1, outcome.limit), 1.0
+            each.limiter.record_limit_left(outcome.limit_left, self.now)
+        self.on_wait(outcome)
+        if outcome.result is Result.DELIVERED:
+            route.dest.record_duration(outcome.elapsed)
+            self.durations.add(outcome.elapsed)
         if first:
-            self.judge(route, call, o)
-        ntf.out -= 1
-        ntf.pushes -= not o.attempted
-        if ntf.key and o.result in MAY_STILL_RUN:
-            self.keys[ntf.key][1] = self.now + self.set.rules.key_rest
-            for other in self.keys[ntf.key][0].values():
-                self.at(self.keys[ntf.key][1], Outcomes.touch, other.dest)
-        self.next_turn(ntf)
-        if o.result not in NEVER_RAN and call.sent < ntf.maybe_at:
-            ntf.maybe_at, ntf.maybe_zone = call.sent, ntf.maybe_zone or route.zone
-        ntf.past, ntf.hops = route.id, ntf.hops + 1
-        ntf.refused = o.result is Result.FULL and o.limit_left < route.pacer.USED_UP
-        self.step(ntf, "ended" if o.ended or o.result is Result.DELIVERED else "came to nothing")
+            self.apply_result(route, call, outcome)
+        held.in_flight -= 1
+        held.pushes -= not outcome.attempted
+        if held.key and outcome.result in MAY_STILL_RUN:
+            self.keys[held.key][1] = self.now + self.settings.rules.key_rest
+            for other in self.keys[held.key][0].values():
+                self.schedule(self.keys[held.key][1], Outcomes.mark_changed, other.dest)
+        self.release_key(held)
+        if outcome.result not in NEVER_RAN and call.sent < held.may_have_run_at:
+            held.may_have_run_at, held.may_have_run_zone = call.sent, held.may_have_run_zone or route.zone
+        held.last_route, held.hops = route.id, held.hops + 1
+        held.refused = outcome.result is Result.FULL and outcome.limit_left < route.limiter.USED_UP_SHARE
+        self.change_notification(
+            held, "ended" if outcome.ended or outcome.result is Result.DELIVERED else "failed"
+        )
 
-    def on_wait(self, e):  # by an answer's head, then by its outcome: the rest may come late, or never
-        route, span = self.routes.get(e.endpoint), e.wait + 0.002  # a wait is told in whole milliseconds
-        if route and e.wait > 0.0:
-            for each in [route] if route.dest.kind.per_route else route.dest.order:
-                each.pacer.wait_until = max(each.pacer.wait_until, self.now + span)
-                self.turn(each, "wait", span)
+    def on_wait(self, event):
+        """Applies a wait; it comes with an answer's head and again with the outcome, which may be late."""
+        route = self.routes.get(event.endpoint)
+        span = event.wait + 0.002  # a wait is sent in whole milliseconds
+        if route and event.wait > 0.0:
+            for each in [route] if route.dest.kind.per_route else route.dest.route_list:
+                each.limiter.wait_until = max(each.limiter.wait_until, self.now + span)
+                self.change_route(each, "wait", span)
 
-    def judge(self, route, call, o):
-        if o.limit_left < route.pacer.USED_UP and o.result in (Result.FULL, Result.DELIVERED):
-            route.dest.habit.add(o.result is Result.FULL)
-        if o.result is Result.DELIVERED:
-            for pacer in route.dest.bound(route):
-                pacer.good(call.sent, self.now, pacer is route.pacer)
-            for tally in (route.tally, route.dest.tally):
-                tally.add(self.now, True)
-            route.silent, route.good_at = False, max(route.good_at, call.sent)
-            for ntf, _ in call.items:
-                route.lanes.pop(ntf.topic.name, None)
-            self.turn(route, "delivered")
-        elif o.result is Result.FULL:
-            self.turn(route, "heard" if o.wait else "failed")
-            route.pacer.bad(call.sent, self.now, True, o.wait, used_up=o.limit_left < route.pacer.USED_UP)
-            for pacer in route.dest.bound(route) if route.pacer.cold == inf else ():
-                pacer.down(call.sent)  # shut, all routes that share its fate are, and come back cold
-        elif o.result not in (Result.NOT_SENT, Result.CANCELLED) and not call.late and not o.stale:
-            self.sick(call, o.result)
+    def apply_result(self, route, call, outcome):
+        """Applies the first outcome of a call to its route, limiters and circuit."""
+        if outcome.limit_left < route.limiter.USED_UP_SHARE and outcome.result in (
+            Result.FULL,
+            Result.DELIVERED,
+        ):
+            route.dest.refusal_cost.add(outcome.result is Result.FULL)
+        if outcome.result is Result.DELIVERED:
+            for limiter in route.dest.affected_limiters(route):
+                limiter.record_success(call.sent, self.now, limiter is route.limiter)
+            for failures in (route.failures, route.dest.failures):
+                failures.add(self.now, True)
+            route.may_have_run, route.delivered_sent = False, max(route.delivered_sent, call.sent)
+            for held, _ in call.items:
+                route.avoided_topics.pop(held.topic.name, None)
+            self.change_route(route, "delivered")
+        elif outcome.result is Result.FULL:
+            self.change_route(route, "refused" if outcome.wait else "failed")
+            route.limiter.record_failure(
+                call.sent,
+                self.now,
+                True,
+                outcome.wait,
+                used_up=outcome.limit_left < route.limiter.USED_UP_SHARE,
+            )
+            # A destination that is shut is so for all routes that share its outages, and comes back cold.
+            for limiter in route.dest.affected_limiters(route) if route.limiter.cold_since == inf else ():
+                limiter.mark_down(call.sent)
+        elif (
+            outcome.result not in (Result.NOT_SENT, Result.CANCELLED)
+            and not call.is_late
+            and not outcome.stale
+        ):
+            self.record_call_failure(call, outcome.result)
 
-    def sick(self, call, result):
-        route, silent = call.route, result is not Result.NO_CONNECTION
-        route.silent, route.mute = silent, result in (None, Result.TIMED_OUT)
-        for ntf, _ in call.items if silent else ():
-            route.lanes[ntf.topic.name] = self.now + self.REST_LANE * self.random.uniform(0.7, 1.3)
-        for tally in (route.tally, route.dest.tally):
-            tally.add(self.now, False)
-        if not silent:  # an outage, once proven, says nothing of how many connections there are
-            self.short[route.dest.kind.name] = self.now + self.SHORT * (not route.dest.tally.out())
-        for pacer in route.dest.bound(route):
-            pacer.bad(call.sent, self.now, False, ran=silent)
-        self.turn(route, "tripped" if route.tally.out() else "failed")
+    def record_call_failure(self, call, result):
+        """Records a failed call; result: None for one that is overdue."""
+        route, may_have_run = call.route, result is not Result.NO_CONNECTION
+        route.may_have_run, route.unanswered = may_have_run, result in (None, Result.TIMED_OUT)
+        for held, _ in call.items if may_have_run else ():
+            route.avoided_topics[held.topic.name] = self.now + self.TOPIC_AVOIDED_S * self.rng.uniform(
+                0.7, 1.3
+            )
+        for failures in (route.failures, route.dest.failures):
+            failures.add(self.now, False)
+        # A proven outage says nothing of how many connections the endpoints take.
+        if not may_have_run:
+            self.short_until[route.dest.kind.name] = self.now + self.CONNECTIONS_SHORT_S * (
+                not route.dest.failures.proves_outage()
+            )
+        for limiter in route.dest.affected_limiters(route):
+            limiter.record_failure(call.sent, self.now, False, may_have_run=may_have_run)
+        self.change_route(route, "tripped" if route.failures.proves_outage() else "failed")
 
-    def overdue(self, call):  # evidence before its time-out: it covers hangs, silence, slow answers
-        if call.left < len(call.items):
+    def on_overdue(self, call):
+        """Counts a call as failed before its time-out: this covers hangs, silence and slow answers."""
+        if call.pending < len(call.items):
             return
-        call.late, call.route.calls = True, call.route.calls - 1  # it takes no room: its like may never end
-        if call.items[0][0].state != "afar":
-            self.late[call] = None
-        if call.route.good_at <= call.sent:  # else younger ones came back: it is heavy, or its answer lost
-            self.sick(call, None)
+        # It no longer counts against the route's concurrency: such a call may never end.
+        call.is_late, call.route.calls = True, call.route.calls - 1
+        if call.items[0][0].state != "remote":
+            self.late_calls[call] = None
+        # If a younger call delivered meanwhile, the call is long, or its answer was lost: no failure.
+        if call.route.delivered_sent <= call.sent:
+            self.record_call_failure(call, None)
 
-    def cap(self, dest):
-        sick = any(r.tally.row or r.state in ("open", "trial") for r in dest.order)
-        return max(1, int(self.set.slots * (self.SHARE_SICK if sick else self.SHARE)))
+    def slot_cap(self, dest):
+        """Calls that the destination may have in flight at once."""
+        failing = any(r.failures.consecutive or r.state in ("open", "trial") for r in dest.route_list)
+        return max(1, int(self.settings.slots * (self.FAILING_SLOT_SHARE if failing else self.SLOT_SHARE)))
 
-    def free_a_slot(self):  # late calls give way: for want of a slot any, of a share one of that destination
-        if not self.late or not self.set.may_cancel:
+    def cancel_late_calls(self):
+        """Cancels a late call where a slot is needed: any if none is free, else one of that destination."""
+        if not self.late_calls or not self.settings.may_cancel:
             return
-        for dest in [d for d in self.touched.values() if d.parked]:
-            wanted = any(r.state == "closed" and r.pacer.wait_until <= self.now for r in dest.order)
-            free = self.slots > 0 and dest.calls < self.cap(dest)
-            late = [c for c in self.late if self.slots <= 0 or c.route.dest is dest]
+        for dest in [d for d in self.changed.values() if d.parked]:
+            wanted = any(r.state == "closed" and r.limiter.wait_until <= self.now for r in dest.route_list)
+            free = self.slots > 0 and dest.calls < self.slot_cap(dest)
+            late = [c for c in self.late_calls if self.slots <= 0 or c.route.dest is dest]
             if wanted and not free and late:
+                # The call with the least benefit of once-only notifications, which a repeat cannot win back.
                 least = min(late, key=lambda c: sum(n.benefit for n, _ in c.items if n.topic.effect is ONCE))
-                del self.late[least]
-                self.acts += [Cancel(n.id, push) for n, push in least.items]
+                del self.late_calls[least]
+                self.actions += [Cancel(n.id, push) for n, push in least.items]
--- a/ryestack/brain/rate_limiter.py
+++ b/ryestack/brain/rate_limiter.py
@@ -1,115 +1,193 @@
-"""The pace of one destination, or one route apart: told rate, waits, refusals, warm-up."""
+"""Rate limiter of a destination, or of one route: its rate limit, waits, refusals and warm-up."""
 
 from math import inf
 
-from .estimators import Flow, Tally
-
-
-class Pacer:
-    GAIN = 1.5  # over our part, as relays are uneven; 1 where a call gathers many: waits fill it
-    # Where refused calls use a limit up, a fleet must come under it: what is left tells whether it does.
-    LEAST, MOST, LESS, MORE, USED_UP, AMPLE, AGE = 0.5, 3.0, 0.7, 1.2, 0.2, 0.5, 0.5  # seconds a share is new
-    OWN = 30.0  # seconds, half-life: parts are lasting; over 5 s one delivery of a thin one shows as many
-    BURST, KEEP = 1.0, 60.0  # seconds: of our part that may go at once; that a drained route is remembered
-    BACK, EASE = 0.5, 0.925  # seconds a token lacking, twice that a refusal; eased so, balance is at 1 in 10
-    THIN = 4.0  # calls in the time that an idle connection stays open: fewer lie at one route, by chance
-    OUT_AFTER = 3.0  # seconds without a delivery: it may come back cold; a limit's refusals are shorter
-    COLD_PART, COLD_ITEM = 0.7, 0.05  # of rule 4's budget, the rest is for chance; weight of a further item
-    UNTOLD, ROUGH = 5.0, 1.5  # calls a second of all relays, where none are told; a rough rate is so far off
-
-    def __init__(self, settings, dest, chance, now, rate):
-        self.dest, self.random, self.taken, self.at, self.stepped = dest, chance, Flow(self.OWN), now, now
-        self.heed(settings)
-        near = [] if dest.kind.per_route else [r.pacer for r in dest.order]  # a new route shares their fate
-        self.cold = max((p.cold for p in near if p.cold is not None), default=None)  # inf: down; back since
-        self.told = max(0.1, rate) if settings.list_has_rates else self.UNTOLD  # a list may tell none
-        self.tokens = chance.random() ** (1.0 / self.told)  # a draw by rate among routes
-        self.back, self.refusals, self.hungry, self.opens, self.ease = self.BACK, 0, 0.0, 0.0, self.GAIN
-        self.ample, self.bad_since = False, min((p.bad_since for p in near), default=inf)
-        self.wait_until = max((p.wait_until for p in near), default=0.0)
-
-    def heed(self, settings):
+from .estimators import DecayingRate, FailureCounter
+
+
+class RateLimiter:
+    """A token bucket whose rate follows the reported limit, this relay's share of it, and outages.
+
+    Times are seconds; rates are calls a second.
+    """
+
+    # Factor above our share of the rate, as load differs between relays. Where a call gathers several
+    # notifications it is 1, since waiting fills the calls.
+    SHARE_GAIN = 1.5
+    # Where refused calls use up a limit, the whole fleet must stay below it. The reported share that is left
+    # shows whether it does: below USED_UP_SHARE the gain is lowered, from AMPLE_SHARE on it is raised.
+    # Reports within GAIN_INTERVAL_S count as one.
+    MIN_GAIN, MAX_GAIN, GAIN_DECREASE, GAIN_INCREASE = 0.5, 3.0, 0.7, 1.2
+    USED_UP_SHARE, AMPLE_SHARE, GAIN_INTERVAL_S = 0.2, 0.5, 0.5
+    # Relays keep their parts of the load for long; over 5 s, a single delivery of a relay with little load
+    # would look like many.
+    DELIVERED_HALF_LIFE_S = 30.0
+    BURST_S, KEEP_DRAINED_S = 1.0, 60.0  # of our share that may go at once; a drained route is remembered
+    # Seconds to wait for each missing token. A refusal doubles it and a delivery multiplies it by
+    # BACKOFF_DECAY: the two balance at one refusal in ten calls.
+    INITIAL_BACKOFF_S, BACKOFF_DECAY = 0.5, 0.925
+    # Calls in the time that an idle connection stays open: with fewer, all of them go by one route at random.
+    SPARSE_CALLS = 4.0
+    # Without a delivery for so long, a destination may come back cold; a rate limit refuses for less time.
+    OUTAGE_AFTER_S = 3.0
+    # Share of rule 4's budget that is used, the rest is a margin for random variation; tokens that each
+    # further notification of a call takes while the destination is cold.
+    COLD_BUDGET_SHARE, COLD_ITEM_TOKENS = 0.7, 0.05
+    # Calls a second of all relays, where the list has no rates; factor by which a rough rate may be off.
+    DEFAULT_RATE, ROUGH_RATE_ERROR = 5.0, 1.5
+
+    def __init__(self, settings, dest, rng, now, rate):
+        self.dest, self.rng, self.delivered = dest, rng, DecayingRate(self.DELIVERED_HALF_LIFE_S)
+        self.refilled_at, self.gain_changed_at = now, now
+        self.apply_settings(settings)
+        # Routes of a destination share its limit and outages, unless its kind has them per route.
+        siblings = [] if dest.kind.per_route else [r.limiter for r in dest.route_list]
+        # None: warm; inf: down; else the time at which the destination came back and its warm-up began.
+        self.cold_since = max((p.cold_since for p in siblings if p.cold_since is not None), default=None)
+        self.reported_rate = max(0.1, rate) if settings.list_has_rates else self.DEFAULT_RATE
+        self.tokens = rng.random() ** (1.0 / self.reported_rate)  # a random choice of route, weighted by rate
+        self.backoff, self.refusals, self.learned_gain = self.INITIAL_BACKOFF_S, 0, self.SHARE_GAIN
+        self.last_call_at, self.reopens_at = 0.0, 0.0
+        self.ample, self.failing_since = False, min((p.failing_since for p in siblings), default=inf)
+        self.wait_until = max((p.wait_until for p in siblings), default=0.0)
+
+    def apply_settings(self, settings):
+        """Takes over the settings that concern it."""
         self.objective = min((t.objective for t in settings.topic_types), default=0.0)
-        self.rules, self.relays, self.idle = settings.rules, settings.relays, settings.connection_idle
-        self.rough = self.ROUGH if settings.rough_rates else 1.0
-
-    def part(self, now):  # the even one, or what it took of ours, which sums to no more; not what is asked
-        even = self.told / self.relays
-        if self.cold is None:  # else routes of one fate share a bucket: a call takes from all of theirs
-            return max(even / self.dest.sharing(), self.taken.rate(now))
-        ours = [self] if self.dest.kind.per_route else {r.pacer: 0 for r in self.dest.order}
-        return max(even, min(self.told, sum(p.taken.rate(now) for p in ours)))
-
-    def gathers(self, now):  # else the next of a call comes after the objective: waiting gathers none
-        return self.dest.kind.batch > 1 and self.part(now) * self.objective >= 1.0
+        self.rules, self.relays = settings.rules, settings.relays
+        self.connection_idle = settings.connection_idle
+        self.rate_error = self.ROUGH_RATE_ERROR if settings.rough_rates else 1.0
+
+    def fair_share(self, now):
+        """This relay's share of the reported rate: an even one, or the rate that it delivered, if higher.
+
+        The delivered rates of all relays add up to no more than the limit; the requested ones may.
+        """
+        even = self.reported_rate / self.relays
+        if self.cold_since is None:
+            return max(even / self.dest.limiter_count(), self.delivered.rate(now))
+        # While cold, routes that share outages share one bucket: a call takes tokens from all of theirs.
+        ours = [self] if self.dest.kind.per_route else {r.limiter: 0 for r in self.dest.route_list}
+        return max(even, min(self.reported_rate, sum(p.delivered.rate(now) for p in ours)))
+
+    def gathers(self, now):
+        """Whether waiting fills a call: the next notification for it comes within the latency objective."""
+        return self.dest.kind.batch > 1 and self.fair_share(now) * self.objective >= 1.0
 
     def gain(self, now):
-        return self.GAIN if self.free(now) else min(1.0, self.ease) if self.gathers(now) else self.ease
-
-    def left(self, part, now):
-        self.ample, due = part >= self.AMPLE, now >= self.stepped + self.AGE
-        if self.dest.habit.counts and due and not self.USED_UP <= part < self.AMPLE:
-            more = min(self.MOST, self.ease * self.MORE)
-            less = max(self.LEAST, min(1.0, self.ease) * self.LESS)
-            self.ease, self.stepped = more if part >= self.AMPLE else less, now
+        """The factor by which the rate may exceed the fair share."""
+        return (
+            self.SHARE_GAIN
+            if self.may_borrow(now)
+            else min(1.0, self.learned_gain)
+            if self.gathers(now)
+            else self.learned_gain
+        )
+
+    def record_limit_left(self, share, now):
+        """Adapts the gain to the reported share of the limit that is left."""
+        self.ample, due = share >= self.AMPLE_SHARE, now >= self.gain_changed_at + self.GAIN_INTERVAL_S
+        if self.dest.refusal_cost.proven and due and not self.USED_UP_SHARE <= share < self.AMPLE_SHARE:
+            more = min(self.MAX_GAIN, self.learned_gain * self.GAIN_INCREASE)
+            less = max(self.MIN_GAIN, min(1.0, self.learned_gain) * self.GAIN_DECREASE)
+            self.learned_gain, self.gain_changed_at = more if share >= self.AMPLE_SHARE else less, now
 
     def rate(self, now):
-        part, share = self.part(now), self.rules.cold_share
-        if self.cold is None:
+        """Calls a second that may go now; while the destination is cold, this relay's part of its budget."""
+        part, share = self.fair_share(now), self.rules.cold_share
+        if self.cold_since is None:
             return part * self.gain(now)
-        share += (1.0 - share) * max(0.0, now - self.cold) / self.rules.cold_time
-        self.cold = None if share >= 1.0 else self.cold
-        return max(1e-3, min(part, part / self.rough * self.rules.overload_factor * share * self.COLD_PART))
+        share += (1.0 - share) * max(0.0, now - self.cold_since) / self.rules.cold_time
+        self.cold_since = None if share >= 1.0 else self.cold_since
+        return max(
+            1e-3,
+            min(part, part / self.rate_error * self.rules.overload_factor * share * self.COLD_BUDGET_SHARE),
+        )
 
     def ready_at(self, now):
+        """Refills the bucket; returns when the next call may go, a time of the clock."""
         rate, start = self.rate(now), max(now, self.wait_until)
-        warm, single = self.cold is None, not self.gathers(now)
-        since = self.at if warm else max(self.at, self.wait_until)  # cold, or all would send at its end
-        most = max(1.0, rate * self.BURST) if warm and single else 1.0
-        if not self.thin(now):
-            self.tokens = min(most, self.tokens + rate * max(0.0, now - since))
-        self.at, lack = now, max(0.0, 1.0 - 1e-6 - self.tokens)
-        when = start + lack / rate
-        if warm and self.free(now):
-            when = min(when, max(self.hungry, self.dest.hungry, self.wait_until) + lack * self.back)
-        return max(start, when)
-
-    def free(self, now):  # a token would come too late to wait for: until refused, it need not
-        pacers = {r.pacer for r in self.dest.order} if self.dest.habit.counts else ()
-        few = sum(p.part(now) for p in pacers) * self.idle < self.THIN
-        return few and not self.gathers(now) and (self.ample or not pacers)  # else a fleet keeps it used up
-
-    def thin(self, now):
-        return self.cold is None and self.free(now) and 0.0 < self.part(now) * self.idle < self.THIN
-
-    def took(self, first, now):
-        spent = 1.0 if first else self.COLD_ITEM if self.cold is not None else 0.0
-        self.tokens, self.hungry = max(-1.0, self.tokens - spent), now
-
-    def good(self, sent, now, here):
-        if here:
-            self.taken.add(now)
-            self.back, self.refusals = max(0.1, self.back * self.EASE), 0
-            self.tokens = 1.0 if self.thin(now) else self.tokens
-        if sent >= self.bad_since or self.bad_since == inf:  # what went before the outage proves no return
-            self.bad_since = inf
-            self.cold = (self.opens or max(now, self.wait_until)) if self.cold == inf else self.cold
-
-    def bad(self, sent, now, refused, wait=0.0, ran=True, used_up=False):
-        self.opens = now + wait if wait > self.OUT_AFTER else self.opens if sent <= self.opens else 0.0
-        if refused:  # again at a random time: relays that a clump met together must not come together
-            self.refusals, self.hungry = self.refusals + 1, now
-            self.back, self.at = self.back * 2**self.refusals, now
-            self.tokens = -(1 + self.refusals * (self.cold is None and self.free(now))) * self.random.random()
-        if used_up and wait <= self.OUT_AFTER:
-            return  # the limit is no outage: what stands behind it is not cold
-        self.bad_since = min(self.bad_since, sent)
-        # Two that met no room may be chance where calls are few; a third, a long wait, no answer are not.
-        few = self.refusals < Tally.ROW if refused else not ran and self.dest.tally.row < Tally.ROW
-        long = wait > self.OUT_AFTER or (not few and now - self.bad_since > self.OUT_AFTER)
-        if long or self.dest.tally.out():
-            self.down(sent)
-
-    def down(self, since):  # the house's random wait: relays must not come back in step
-        self.tokens = min(self.tokens, self.random.random()) if self.cold != inf else self.tokens
-        self.cold, self.bad_since = inf, min(self.bad_since, since)
+        warm, single = self.cold_since is None, not self.gathers(now)
+        # A cold bucket does not fill during a wait, or all relays would send at its end.
+        since = self.refilled_at if warm else max(self.refilled_at, self.wait_until)
+        max_tokens = max(1.0, rate * self.BURST_S) if warm and single else 1.0
+        if not self.is_sparse(now):
+            self.tokens = min(max_tokens, self.tokens + rate * max(0.0, now - since))
+        self.refilled_at, missing = now, max(0.0, 1.0 - 1e-6 - self.tokens)
+        ready = start + missing / rate
+        if warm and self.may_borrow(now):
+            ready = min(
+                ready,
+                max(self.last_call_at, self.dest.waiting_since, self.wait_until) + missing * self.backoff,
+            )
+        return max(start, ready)
+
+    def may_borrow(self, now):
+        """Whether calls are so few that each may go after a backoff instead of waiting for its token.
+
+        Where refused calls use up the limit, only while an ample share of it is left: else a fleet would keep
+        it used up.
+        """
+        limiters = {r.limiter for r in self.dest.route_list} if self.dest.refusal_cost.proven else ()
+        few = sum(p.fair_share(now) for p in limiters) * self.connection_idle < self.SPARSE_CALLS
+        return few and not self.gathers(now) and (self.ample or not limiters)
+
+    def is_sparse(self, now):
+        """Whether calls are so few that they stay on the route whose connection is open: no refill."""
+        return (
+            self.cold_since is None
+            and self.may_borrow(now)
+            and 0.0 < self.fair_share(now) * self.connection_idle < self.SPARSE_CALLS
+        )
+
+    def take_token(self, new_call, now):
+        """Pays for a new call, or for a further notification in one."""
+        spent = 1.0 if new_call else self.COLD_ITEM_TOKENS if self.cold_since is not None else 0.0
+        self.tokens, self.last_call_at = max(-1.0, self.tokens - spent), now
+
+    def record_success(self, sent, now, own):
+        """A call that was sent at `sent` delivered; own: by a route of this limiter, not of a sibling."""
+        if own:
+            self.delivered.add(now)
+            self.backoff, self.refusals = max(0.1, self.backoff * self.BACKOFF_DECAY), 0
+            self.tokens = 1.0 if self.is_sparse(now) else self.tokens
+        # A call that was sent before the outage does not prove that the destination is back.
+        if sent >= self.failing_since or self.failing_since == inf:
+            self.failing_since = inf
+            self.cold_since = (
+                (self.reopens_at or max(now, self.wait_until)) if self.cold_since == inf else self.cold_since
+            )
+
+    def record_failure(self, sent, now, refused, wait=0.0, may_have_run=True, used_up=False):
+        """A call that was sent at `sent` failed.
+
+        wait: seconds that the endpoint asked for; used_up: it was refused with the limit used up.
+        """
+        self.reopens_at = (
+            now + wait if wait > self.OUTAGE_AFTER_S else self.reopens_at if sent <= self.reopens_at else 0.0
+        )
+        # The retry time is random: relays that a burst of load refused together must not return together.
+        if refused:
+            self.refusals, self.last_call_at = self.refusals + 1, now
+            self.backoff, self.refilled_at = self.backoff * 2**self.refusals, now
+            self.tokens = (
+                -(1 + self.refusals * (self.cold_since is None and self.may_borrow(now))) * self.rng.random()
+            )
+        if used_up and wait <= self.OUTAGE_AFTER_S:
+            return  # a used-up limit is no outage: the destination behind it is not cold
+        self.failing_since = min(self.failing_since, sent)
+        # Where calls are few, two refusals or failed connections may be random. A third, a long wait, or a
+        # call that may have run and got no good answer, are not.
+        few = (
+            self.refusals < FailureCounter.CONSECUTIVE_LIMIT
+            if refused
+            else not may_have_run and self.dest.failures.consecutive < FailureCounter.CONSECUTIVE_LIMIT
+        )
+        long = wait > self.OUTAGE_AFTER_S or (not few and now - self.failing_since > self.OUTAGE_AFTER_S)
+        if long or self.dest.failures.proves_outage():
+            self.mark_down(sent)
+
+    def mark_down(self, since):
+        """Marks the destination as down since then; a random delay keeps relays from returning in step."""
+        self.tokens = min(self.tokens, self.rng.random()) if self.cold_since != inf else self.tokens
+        self.cold_since, self.failing_since = inf, min(self.failing_since, since)
--- a/ryestack/lab/former_names.py
+++ b/ryestack/lab/former_names.py
@@ -36,7 +36,34 @@
         "max_come_back": "max_retry_after",
     },
 }
-CONSTANTS: dict[str, str] = {}
+CONSTANTS = {
+    "EARLY": "DEADLINE_MARGIN_S",
+    "WALK_REST": "CYCLE_REST_S",
+    "HOPS": "MAX_HOPS",
+    "SHARE_SPAN": "QUOTA_BURST_S",
+    "DOOR": "MAX_FILL",
+    "LATE": "LAST_PHASE",
+    "PRICE": "EARLY_END_PRICE",
+    "REST": "OPEN_S",
+    "REST_SHORT": "OPEN_SHORT_S",
+    "ASK": "LIST_RETRY_S",
+    "ASK_LONGEST": "MAX_LIST_RETRY_S",
+    "NEAR": "AGENT_RETRY_S",
+    "TOLD": "MAX_LIST_AGE_S",
+    "REST_LANE": "TOPIC_AVOIDED_S",
+    "SHORT": "CONNECTIONS_SHORT_S",
+    "SHARE": "SLOT_SHARE",
+    "SHARE_SICK": "FAILING_SLOT_SHARE",
+    "OVERDUE": "OVERDUE_FACTOR",
+    "OVERDUE_ALL": "OVERDUE_FACTOR_ALL",
+    "OVERDUE_LEAST": "MAX_MIN_OVERDUE_S",
+    "TIMEOUT": "TIMEOUT_FACTOR",
+    "TIMEOUT_LEAST": "MIN_TIMEOUT_S",
+    "ROOM": "CONCURRENCY_FACTOR",
+    "USUAL": "INITIAL_DURATION_S",
+    "KEPT": "MIN_IDLE_USES",
+    "KEPT_SHORT": "MIN_IDLE_USES_SHORT",
+}
 
 
 def former_interface(name: str) -> types.ModuleType:
--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -26,7 +26,7 @@
             "upstream_tries_total": parts.dispatcher.written,
             "in_progress": owner.in_progress(),
             "known_endpoints": len(listed),
-            "skipped_endpoints": len(owner.brain.avoided(listed)),
+            "skipped_endpoints": len(owner.brain.skipped_endpoints(listed)),
             "loads_total": self.loads["taken"],
             "load_errors_total": self.loads["turned down"],
         }
--- a/ryestack/lifecycle/learned_state.py
+++ b/ryestack/lifecycle/learned_state.py
@@ -1,36 +1,62 @@
-"""What a module has learnt, as plain values, for the process after it to begin with. Pure; decides nothing.
+"""What a decision module has learned, as plain values, for the process after it. Pure.
 
-Times are of the machine's monotonic clock, which both processes of an upgrade read.
+Times are of the machine's monotonic clock, which both processes of an upgrade read. The format is read and
+written by older builds too: stored keys stay as they are, whatever the attributes are called.
 """
 
 from math import inf
 
-from .. import interface as it
+from .. import interface
 from ..brain import Brain
-from ..brain.estimators import Flow, Habit, Tally, Times
-from ..brain.rate_limiter import Pacer
-from ..brain.routes import Dest, Route
+from ..brain.estimators import DecayingRate, DurationHistogram, FailureCounter, RefusalCostDetector
+from ..brain.rate_limiter import RateLimiter
+from ..brain.routes import Destination, Route
 
+# Class -> stored key -> attribute.
 KEPT = {
-    Route: "state until silent mute good_at lanes",
-    Pacer: "told rough tokens at back refusals hungry bad_since cold wait_until ease opens",
-    Flow: "sum at",
-    Tally: "row good bad at",
-    Dest: "usual seen hungry credit credit_at",
-    Habit: "score counts",
-    Times: "bins count",
+    Route: {
+        "state": "state",
+        "until": "open_until",
+        "silent": "may_have_run",
+        "mute": "unanswered",
+        "good_at": "delivered_sent",
+        "lanes": "avoided_topics",
+    },
+    RateLimiter: {
+        "told": "reported_rate",
+        "rough": "rate_error",
+        "tokens": "tokens",
+        "at": "refilled_at",
+        "back": "backoff",
+        "refusals": "refusals",
+        "hungry": "last_call_at",
+        "bad_since": "failing_since",
+        "cold": "cold_since",
+        "wait_until": "wait_until",
+        "ease": "learned_gain",
+        "opens": "reopens_at",
+    },
+    DecayingRate: {"sum": "weighted_count", "at": "updated_at"},
+    FailureCounter: {"row": "consecutive", "good": "successes", "bad": "failures", "at": "updated_at"},
+    Destination: {
+        "usual": "usual_duration",
+        "seen": "deliveries",
+        "hungry": "waiting_since",
+        "credit": "retry_credit",
+        "credit_at": "credit_at",
+    },
+    RefusalCostDetector: {"score": "score", "counts": "proven"},
+    DurationHistogram: {"bins": "bins", "count": "count"},
 }
-
-
-# The class names and keys as they are in the file's mark, and the settings' names: older builds compare it.
+# Names of classes and settings in the text of `mark_text`, as older builds write them.
 STORED_CLASSES = {
     Route: "ryestack.brain.routes.Route",
-    Pacer: "ryestack.brain.pacer.Pacer",
-    Flow: "ryestack.brain.measures.Flow",
-    Tally: "ryestack.brain.measures.Tally",
-    Dest: "ryestack.brain.routes.Dest",
-    Habit: "ryestack.brain.measures.Habit",
-    Times: "ryestack.brain.measures.Times",
+    RateLimiter: "ryestack.brain.pacer.Pacer",
+    DecayingRate: "ryestack.brain.measures.Flow",
+    FailureCounter: "ryestack.brain.measures.Tally",
+    Destination: "ryestack.brain.routes.Dest",
+    RefusalCostDetector: "ryestack.brain.measures.Habit",
+    DurationHistogram: "ryestack.brain.measures.Times",
 }
 STORED_SETTINGS = {
     "late_benefit=<LateBenefit.": "late=<Late.",
@@ -40,30 +66,31 @@
 }
 
 
-def mark_text(settings: it.Settings) -> str:
-    """The settings and the stored keys as text; learnt state is restored only where it is the same.
+def mark_text(settings: interface.Settings) -> str:
+    """The settings and the stored keys as text; learned state is restored only where it is the same.
 
-    It is the same text in older builds, which had other names for classes and settings.
+    Older builds, with other names for classes and settings, have the same text.
     """
     text = repr(settings)
     for name, stored in STORED_SETTINGS.items():
         text = text.replace(name, stored)
-    keys = (f"<class '{STORED_CLASSES[kind]}'>: '{names}'" for kind, names in KEPT.items())
+    keys = (f"<class '{STORED_CLASSES[kind]}'>: '{' '.join(names)}'" for kind, names in KEPT.items())
     return f"({text}, {{{', '.join(keys)}}})"
 
 
 def export(brain: Brain) -> dict:
+    """The learned state of a decision module."""
     return {
         "routes": {r.id: [_facts(part) for part in _of_route(r)] for r in brain.routes.values()},
-        "dests": {str(n): [_facts(part) for part in _of_dest(d)] for n, d in brain.dests.items()},
-        "short": brain.short,
-        "habits": {kind: _facts(habit) for kind, habit in brain.habits.items()},
-        "times": _facts(brain.times),
+        "dests": {str(n): [_facts(part) for part in _of_dest(d)] for n, d in brain.destinations.items()},
+        "short": brain.short_until,
+        "habits": {kind: _facts(refusals) for kind, refusals in brain.refusal_costs.items()},
+        "times": _facts(brain.durations),
     }
 
 
 def restore(brain: Brain, learnt: dict) -> None:
-    """Into a module that knows the list already; what it does not know is passed over."""
+    """Restores exported state into a module that has the endpoint list; unknown parts are ignored."""
     for name, parts in learnt.get("routes", {}).items():
         if route := brain.routes.get(name):
             drains = route.state == "draining"
@@ -72,50 +99,52 @@
             if route.state == "draining":
                 brain.draining[name] = route
             if route.state == "open":
-                brain.at(route.until, Brain.route_due, route)
+                brain.schedule(route.open_until, Brain.on_open_end, route)
     for number, parts in learnt.get("dests", {}).items():
-        if (dest := brain.dests.get(int(number))) is not None:
+        if (dest := brain.destinations.get(int(number))) is not None:
             _learn(_of_dest(dest), parts)
-    brain.short = dict(learnt.get("short", {}))
+    brain.short_until = dict(learnt.get("short", {}))
     for kind, facts in learnt.get("habits", {}).items():
-        _learn([brain.habits[kind]], [facts])
-    _learn([brain.times], [learnt.get("times", {})])
+        _learn([brain.refusal_costs[kind]], [facts])
+    _learn([brain.durations], [learnt.get("times", {})])
 
 
 def assume_cold(brain: Brain) -> None:
-    """Nothing could be told: every partner may be one that is just back from an outage."""
+    """Without learned state, every partner may be one that has just returned from an outage."""
     for route in brain.routes.values():
-        route.pacer.cold = brain.now
+        route.limiter.cold_since = brain.now
 
 
 def failing(brain: Brain) -> dict[str, float]:
     """Routes whose destination has delivered nothing since a failure: each with the time of its first."""
-    routes = (r for r in brain.routes.values() if r.dest.tally.row and r.pacer.bad_since < inf)
-    return {route.id: route.pacer.bad_since for route in routes}
+    routes = (
+        r for r in brain.routes.values() if r.dest.failures.consecutive and r.limiter.failing_since < inf
+    )
+    return {route.id: route.limiter.failing_since for route in routes}
 
 
 def assume_down(brain: Brain, since: dict[str, float]) -> None:
-    """A restart was blind for a while: what failed before it may be back by now, and cold."""
-    for name, at in since.items():
+    """After a restart, routes that failed before it may be back by now, and cold."""
+    for name, failing_since in since.items():
         if route := brain.routes.get(name):
-            route.pacer.down(at)
+            route.limiter.mark_down(failing_since)
 
 
-def _of_route(r: Route) -> list:
-    return [r, r.tally, r.pacer, r.pacer.taken]
+def _of_route(route: Route) -> list:
+    return [route, route.failures, route.limiter, route.limiter.delivered]
 
 
-def _of_dest(d: Dest) -> list:
-    return [d, d.tally, d.times]
+def _of_dest(dest: Destination) -> list:
+    return [dest, dest.failures, dest.durations]
 
 
 def _facts(thing) -> dict:
-    return {name: getattr(thing, name) for name in KEPT[type(thing)].split()}
+    return {key: getattr(thing, attribute) for key, attribute in KEPT[type(thing)].items()}
 
 
 def _learn(things: list, parts: list[dict]) -> None:
     for thing, facts in zip(things, parts, strict=True):
-        known = KEPT[type(thing)].split()
-        vars(thing).update({name: value for name, value in facts.items() if name in known})
-        if isinstance(thing, Times):
-            thing.found = {}
+        known = KEPT[type(thing)]
+        vars(thing).update({known[key]: value for key, value in facts.items() if key in known})
+        if isinstance(thing, DurationHistogram):
+            thing.cached = {}
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -29,9 +29,9 @@
         self.settings, self.ledger, self.clock = settings, ledger, clock
         self.wall = wall  # added to the clock, it gives times of the journal's timeline
         self.brain = Watched(settings, seed)
-        self.brain.told_turn = partial(self.tell_siblings, "turn")
+        self.brain.on_key_claim = partial(self.tell_siblings, "turn")
         self.failing_changed = asyncio.Event()
-        self.brain.told_failing = self.failing_changed.set
+        self.brain.on_failing_changed = self.failing_changed.set
         self.queue, self.filled = [], asyncio.Event()
         # These three are set once they can be built, before the first round.
         self.dispatcher: Dispatcher = None
@@ -73,7 +73,7 @@
 
     def pause(self, names: set[str]) -> None:
         """They stay owed, but may not be acted on: out of the module, and what is out is closed."""
-        out = [(name, push) for name, push in self.brain.out if name in names]
+        out = [(name, push) for name, push in self.brain.in_flight if name in names]
         self.put([Paused(name) for name in names])
         for name, push in out:
             self.dispatcher.cancel(name, push)
@@ -96,7 +96,7 @@
         heard = [h for h in (self.BEFORE.get(type(e), _as_is)(self, e) for e in events) if h]
         asked, now = defaultdict(list), self.clock()
         for told in heard:
-            self.invariants.hear(told, now)
+            self.invariants.observe(told, now)
         for action in self.brain.round(now, heard):
             asked[type(action)].append(action)
         for action in asked[it.Throttle] + asked[it.Expire]:
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -59,7 +59,7 @@
         if channel.writer is None:
             await channel.open()
             channel.send("learnt", learned_state.export(self.owner.brain), self.owner.calls_out())
-            for turn in self.owner.brain.turns():
+            for turn in self.owner.brain.key_claims():
                 channel.send("turn", *turn)
         self.owner.siblings.append(channel)
         self.channels.add(channel)
--- a/ryestack/lifecycle/upgrade/siblings.py
+++ b/ryestack/lifecycle/upgrade/siblings.py
@@ -95,12 +95,12 @@
 
     def calls_out(self) -> list:
         """Our calls that are out, as "began" tells them."""
-        calls = {id(call): call for call, ntf in self.brain.out.values() if ntf.state != "afar"}
+        calls = {id(call): call for call, ntf in self.brain.in_flight.values() if ntf.state != "remote"}
         return [(call.route.id, self.items_out(call)) for call in calls.values()]
 
     def items_out(self, call) -> list:
         """(id, push, topic type) of each of its pushes that is out."""
-        return [(n.id, push, n.topic.name) for n, push in call.items if (n.id, push) in self.brain.out]
+        return [(n.id, push, n.topic.name) for n, push in call.items if (n.id, push) in self.brain.in_flight]
 
     def gone(self, channel) -> None:
         """What it had out ends with it; whoever owes those notifications has its history of them."""
--- a/ryestack/lifecycle/watched.py
+++ b/ryestack/lifecycle/watched.py
@@ -1,58 +1,71 @@
-"""The decisions, with what becomes of circuits told to the log. It decides nothing and changes nothing."""
+"""The decision module with hooks for the log and for other processes. It changes no decision."""
 
 from math import inf
 
-from .. import interface as it
+from .. import interface
 from ..brain import Brain
 from ..observe.log import event
 
-TOLD = {"open": "route.opened", "closed": "route.closed", "draining": "route.drained"}
-BY = {"tripped": "failures", "failed": "a failed trial", "wait": "a told wait"}
+ROUTE_EVENTS = {"open": "route.opened", "closed": "route.closed", "draining": "route.drained"}
+OPENED_WHY = {"tripped": "failures", "failed": "a failed trial", "wait": "a told wait"}
 
 
 class Watched(Brain):
-    told_turn = staticmethod(
-        lambda key, name, over, rest: None
-    )  # what another process of this relay must know
+    """Logs changes of circuits, and reports key order and failing routes to its callbacks."""
 
-    def avoided(self, endpoints: list[str]) -> list[str]:
-        """Which of them get nothing now."""
+    # Callback (key, id, released, rests_until): what other processes of this relay must know of ordered keys.
+    on_key_claim = staticmethod(lambda key, name, released, rests_until: None)
+
+    def skipped_endpoints(self, endpoints: list[str]) -> list[str]:
+        """Those of the endpoints that no calls are sent to now."""
         routes = [self.routes[e] for e in endpoints if e in self.routes]
-        return [r.id for r in routes if r.state != "closed" or self.now < r.pacer.wait_until]
+        return [r.id for r in routes if r.state != "closed" or self.now < r.limiter.wait_until]
 
-    def turns(self) -> list[tuple]:
-        return [(key, name, False, rest) for key, (turns, rest) in self.keys.items() for name in turns]
+    def key_claims(self) -> list[tuple]:
+        """All notifications of ordered keys, as arguments of on_key_claim."""
+        return [
+            (key, name, False, rests_until)
+            for key, (queue, rests_until) in self.keys.items()
+            for name in queue
+        ]
 
     def on_notification(self, n):
         if (n.terms or self.topics[n.topic_type]).keep_order and n.key:
-            self.told_turn(n.key, n.id, False, 0.0)
+            self.on_key_claim(n.key, n.id, False, 0.0)
         super().on_notification(n)
 
-    HEAR = {**Brain.HEAR, it.Notification: on_notification}
+    HANDLERS = {**Brain.HANDLERS, interface.Notification: on_notification}
 
-    def next_turn(self, ntf):
-        ours = ntf.topic.name  # a stand-in for one of theirs has no name: it is not told back
-        if ours and ntf.key and ntf.state == "over" and not ntf.out and ntf.id in self.keys[ntf.key][0]:
-            self.told_turn(ntf.key, ntf.id, True, self.keys[ntf.key][1])
-        super().next_turn(ntf)
+    def release_key(self, held):
+        ours = held.topic.name  # a stand-in for another process's notification has no topic name
+        if (
+            ours
+            and held.key
+            and held.state == "over"
+            and not held.in_flight
+            and held.id in self.keys[held.key][0]
+        ):
+            self.on_key_claim(held.key, held.id, True, self.keys[held.key][1])
+        super().release_key(held)
 
-    told_failing = staticmethod(lambda: None)  # a route begins to fail, or delivers again
+    # Callback: a route has begun to fail, or delivers again.
+    on_failing_changed = staticmethod(lambda: None)
 
-    def judge(self, route, call, o):
-        failed = route.pacer.bad_since < inf
-        super().judge(route, call, o)
-        if failed != (route.pacer.bad_since < inf):
-            self.told_failing()
+    def apply_result(self, route, call, outcome):
+        failed = route.limiter.failing_since < inf
+        super().apply_result(route, call, outcome)
+        if failed != (route.limiter.failing_since < inf):
+            self.on_failing_changed()
 
-    def overdue(self, call):
-        failed = call.route.pacer.bad_since < inf
-        super().overdue(call)
-        if failed != (call.route.pacer.bad_since < inf):
-            self.told_failing()
+    def on_overdue(self, call):
+        failed = call.route.limiter.failing_since < inf
+        super().on_overdue(call)
+        if failed != (call.route.limiter.failing_since < inf):
+            self.on_failing_changed()
 
-    def turn(self, route, heard, span=0.0):
+    def change_route(self, route, trigger, span=0.0):
         before = route.state
-        super().turn(route, heard, span)
-        if route.state != before and route.state in TOLD:
-            why = {"why": BY.get(heard, heard)} if route.state == "open" else {}
-            event(TOLD[route.state], route=route.id, destination=route.dest.number, **why)
+        super().change_route(route, trigger, span)
+        if route.state != before and route.state in ROUTE_EVENTS:
+            why = {"why": OPENED_WHY.get(trigger, trigger)} if route.state == "open" else {}
+            event(ROUTE_EVENTS[route.state], route=route.id, destination=route.dest.number, **why)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -107,9 +107,9 @@
         successor = self.successor(predecessor, routes=("a", "b", "c", "d"))
         for name in "abc":
             mine, theirs = successor.routes[name], predecessor.routes[name]
-            self.assertEqual((mine.state, mine.until), (theirs.state, theirs.until))
-            for name in ("wait_until", "cold", "tokens"):
-                self.assertEqual(getattr(mine.pacer, name), getattr(theirs.pacer, name))
+            self.assertEqual((mine.state, mine.open_until), (theirs.state, theirs.open_until))
+            for name in ("wait_until", "cold_since", "tokens"):
+                self.assertEqual(getattr(mine.limiter, name), getattr(theirs.limiter, name))
         self.assertEqual(pushes(successor.round(2.0, [take("m")])), [("m", "d")])
         successor.round(10.3, [it.TimerFired()])
         self.assertNotEqual(successor.routes["a"].state, "open")
@@ -119,13 +119,13 @@
         unknown = {"routes": {"z": [{}, {}, {}, {}]}, "dests": {"9": [{}, {}, {}]}, "new": 1}
         learned_state.restore(successor, unknown)
         learned_state.restore(successor, {"routes": {"a": [{"odd": 1}, {"row": 2}, {}, {}]}})
-        self.assertEqual(successor.routes["a"].tally.row, 2)
+        self.assertEqual(successor.routes["a"].failures.consecutive, 2)
 
     def test_told_nothing_every_partner_may_be_cold(self):
         successor, other = brain(), brain()
         successor.round(1.0, [])
         learned_state.assume_cold(successor)
-        self.assertLess(successor.routes["a"].pacer.rate(1.0), other.routes["a"].pacer.rate(1.0))
+        self.assertLess(successor.routes["a"].limiter.rate(1.0), other.routes["a"].limiter.rate(1.0))
 
 
 class SiblingCall(unittest.TestCase):
@@ -139,7 +139,7 @@
         self.assertEqual(b.slots, 1)
         self.assertEqual(pushes(b.round(1.1, [take("n"), take("m")])), [])  # three are its share
         b.round(1.2, [end(name, "a", Result.DELIVERED) for name in "xyz"])
-        self.assertEqual((len(b.held), b.slots, len(b.out)), (2, 2, 2))
+        self.assertEqual((len(b.notifications), b.slots, len(b.in_flight)), (2, 2, 2))
 
     def test_a_call_of_many_is_one_and_nothing_of_ours_joins_it(self):
         b = brain(kind="bulk")
@@ -151,7 +151,7 @@
         b.round(1.0, [self.call(name) for name in "xyz"])
         for now in (3.0, 6.0, 9.0):
             acts = b.round(now, [it.TimerFired(), take(f"n{now}")])
-            theirs = [call for call in b.late if call.items[0][0].state == "afar"]
+            theirs = [call for call in b.late_calls if call.items[0][0].state == "remote"]
             self.assertEqual((kinds(acts, it.Cancel), theirs), ([], []))
             self.assertNotEqual(b.routes["a"].state, "closed")
 
@@ -178,10 +178,10 @@
 
     def test_words_of_turns_go_out_once_and_are_not_told_back(self):
         said, b = [], Watched(settings(), 1)
-        b.told_turn = lambda *word: said.append(word[:3])
+        b.on_key_claim = lambda *word: said.append(word[:3])
         b.round(0.0, [it.ListUpdate((it.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)])
         b.round(1.0, [take("n", "turns", key="k"), it.SiblingKeyClaim("k", "x", False)])
-        self.assertEqual([turn[:3] for turn in b.turns()], [("k", "n", False), ("k", "x", False)])
+        self.assertEqual([turn[:3] for turn in b.key_claims()], [("k", "n", False), ("k", "x", False)])
         b.round(1.1, [end("n", "a", Result.DELIVERED), it.SiblingKeyClaim("k", "x", True)])
         self.assertEqual(said, [("k", "n", False), ("k", "n", True)])
 
--- a/tests/test_blind_restart.py
+++ b/tests/test_blind_restart.py
@@ -29,7 +29,7 @@
         if fails:
             message = [take(f"n{n}", due=relay.clock() + 20.0) for n in range(4)]
             for n, each in enumerate(message):
-                owner.brain.held.pop(each.id, None)
+                owner.brain.notifications.pop(each.id, None)
                 acts = owner.brain.round(relay.clock() + n * 0.01, [each])
                 for name, route in pushes(acts):
                     owner.brain.round(relay.clock() + n * 0.01, [end(name, route, Result.NO_CONNECTION)])
@@ -38,7 +38,7 @@
         await relay.close()
         again = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
         await again.happen("begun")
-        found = again.owner.brain.routes["a"].pacer.rate(again.clock())
+        found = again.owner.brain.routes["a"].limiter.rate(again.clock())
         await again.close()
         server.close()
         return found
@@ -59,18 +59,18 @@
             b.round(now, [take(f"w{n}")])
             b.round(now + 0.01, [end(f"w{n}", "a", Result.DELIVERED, ended=True)])
             now += 0.02
-        while not b.dests[7].tally.row:
+        while not b.destinations[7].failures.consecutive:
             for name, _ in pushes(b.round(now, [take(f"n{now}")])):
-                b.round(now + 0.01, [end(name, "a", Result.NO_CONNECTION, b.held[name].pushes - 1)])
+                b.round(now + 0.01, [end(name, "a", Result.NO_CONNECTION, b.notifications[name].pushes - 1)])
             now += 0.05
-        self.assertIsNone(b.routes["a"].pacer.cold)
+        self.assertIsNone(b.routes["a"].limiter.cold_since)
         warm, cold = made_brain(routes=("a",), rate=RATE), made_brain(routes=("a",), rate=RATE)
         for each in (warm, cold):
             learned_state.restore(each, json.loads(json.dumps(learned_state.export(b))))
         learned_state.assume_down(cold, learned_state.failing(cold))
         rules = settings().rules
-        self.assertGreaterEqual(warm.routes["a"].pacer.rate(now), RATE)
-        self.assertLess(cold.routes["a"].pacer.rate(now), RATE * rules.cold_share * rules.overload_factor)
+        self.assertGreaterEqual(warm.routes["a"].limiter.rate(now), RATE)
+        self.assertLess(cold.routes["a"].limiter.rate(now), RATE * rules.cold_share * rules.overload_factor)
 
 
 if __name__ == "__main__":
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -48,17 +48,17 @@
         """A call is over with the time of its first: the others would be cut off in the midst of it."""
         b = brain(kind="bulk", rate=1000.0)
         for seconds in (*[0.1] * 40, *[3.0] * 10):
-            b.dests[7].took(seconds)
+            b.destinations[7].record_duration(seconds)
         fresh = [take(f"n{i}", due=40.0) for i in range(3)]
         sent = pushes(b.round(1.0, [take("short", due=3.0), *fresh]))
         self.assertEqual([name for name, _ in sent if name != "short"], ["n0", "n1", "n2"])
-        self.assertEqual([n.id for n, _ in b.out["n0", 0][0].items], ["n0", "n1", "n2"])
+        self.assertEqual([n.id for n, _ in b.in_flight["n0", 0][0].items], ["n0", "n1", "n2"])
         for due, slow in ((3.0, 0.1), (30.0, 45.0)):  # enough for most calls there, or for all about as much
             b = brain(kind="bulk", rate=1000.0)
             for seconds in (*[0.1] * 40, *[slow] * 10):
-                b.dests[7].took(seconds)
+                b.destinations[7].record_duration(seconds)
             self.assertEqual(len(pushes(b.round(1.0, [take("near", due=due), *fresh]))), 4)
-            self.assertEqual(len(b.out["n0", 0][0].items), 4)
+            self.assertEqual(len(b.in_flight["n0", 0][0].items), 4)
 
     def test_a_wait_binds_from_the_head_of_its_answer(self):
         for kind, free in (("shared", []), ("apart", ["b"])):
@@ -179,7 +179,7 @@
 
     def test_a_wait_outlives_a_drained_route_that_is_listed_again(self):
         b = brain(kind="apart", routes=("a",))
-        b.routes["a"].pacer.wait_until = 9.0
+        b.routes["a"].limiter.wait_until = 9.0
         ready, draining = it.EndpointStatus.READY, it.EndpointStatus.DRAINING
         for name, listed in (("a", draining), ("b", ready), ("a", ready)):
             b.round(1.0, [it.ListUpdate((it.Endpoint(name, "z", "apart", 7, listed, 50.0),))])
@@ -189,8 +189,8 @@
         b = brain(routes=("a",), rate=0.0)
         b.round(1.0, [take("n", due=21.0)])
         self.assertEqual(pushes(b.round(2.0, [it.TimerFired()])), [("n", "a")])
-        b.routes["a"].pacer.bad(2.0, 9.0, False)
-        self.assertLess(b.routes["a"].pacer.ready_at(9.0), 60.0)  # and after an outage it is tried again
+        b.routes["a"].limiter.record_failure(2.0, 9.0, False)
+        self.assertLess(b.routes["a"].limiter.ready_at(9.0), 60.0)  # and after an outage it is tried again
 
     def test_key_order_and_rest(self):
         b = brain()
@@ -207,41 +207,41 @@
 
     def test_cold_budget_after_an_outage(self):
         b = brain(rate=3.0, routes=("a",))
-        pacer = b.routes["a"].pacer
-        pacer.bad(6.0, 10.0, False)
-        self.assertAlmostEqual(pacer.rate(10.0), 3.0 * 2.0 * 0.2 * pacer.COLD_PART)
+        limiter = b.routes["a"].limiter
+        limiter.record_failure(6.0, 10.0, False)
+        self.assertAlmostEqual(limiter.rate(10.0), 3.0 * 2.0 * 0.2 * limiter.COLD_BUDGET_SHARE)
 
     def test_a_delivery_of_a_push_from_before_the_outage_starts_no_warm_up(self):
-        pacer = brain().routes["a"].pacer
-        pacer.bad(5.0, 5.0, True, 20.0)
-        pacer.good(4.9, 6.0, True)
-        self.assertEqual(pacer.cold, inf)
+        limiter = brain().routes["a"].limiter
+        limiter.record_failure(5.0, 5.0, True, 20.0)
+        limiter.record_success(4.9, 6.0, True)
+        self.assertEqual(limiter.cold_since, inf)
 
     def test_the_warm_up_starts_no_sooner_than_a_wait_ends(self):
-        pacer = brain().routes["a"].pacer
-        pacer.bad(5.0, 5.0, True, 20.0)
-        pacer.wait_until = 25.0
-        pacer.good(5.1, 6.0, True)
-        self.assertEqual(pacer.cold, 25.0)
+        limiter = brain().routes["a"].limiter
+        limiter.record_failure(5.0, 5.0, True, 20.0)
+        limiter.wait_until = 25.0
+        limiter.record_success(5.1, 6.0, True)
+        self.assertEqual(limiter.cold_since, 25.0)
 
     def test_nothing_gathers_in_a_wait_so_relays_do_not_return_in_step(self):
-        pacer = brain(rate=3.0).routes["a"].pacer
-        pacer.bad(5.0, 5.0, True, 20.0)
-        pacer.wait_until = 25.0
-        self.assertGreater(pacer.ready_at(24.9), 25.0)
-        self.assertLess(pacer.tokens, 1.0)
+        limiter = brain(rate=3.0).routes["a"].limiter
+        limiter.record_failure(5.0, 5.0, True, 20.0)
+        limiter.wait_until = 25.0
+        self.assertGreater(limiter.ready_at(24.9), 25.0)
+        self.assertLess(limiter.tokens, 1.0)
 
     def test_a_limits_short_refusals_leave_a_destination_warm(self):
-        pacer = brain().routes["a"].pacer
-        pacer.bad(5.0, 6.0, True)
-        self.assertIsNone(pacer.cold)
+        limiter = brain().routes["a"].limiter
+        limiter.record_failure(5.0, 6.0, True)
+        self.assertIsNone(limiter.cold_since)
 
     def test_a_lone_failure_in_the_warm_up_does_not_restart_it(self):
-        pacer = brain().routes["a"].pacer
-        pacer.bad(5.0, 9.0, False)
-        pacer.good(9.0, 10.0, True)
-        pacer.bad(11.0, 11.5, False)
-        self.assertEqual(pacer.cold, 10.0)
+        limiter = brain().routes["a"].limiter
+        limiter.record_failure(5.0, 9.0, False)
+        limiter.record_success(9.0, 10.0, True)
+        limiter.record_failure(11.0, 11.5, False)
+        self.assertEqual(limiter.cold_since, 10.0)
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""What a fleet sends, in sum, to a partner back from an outage: real pacers, seeded, all of them eager."""
+"""What a fleet sends, in sum, to a partner back from an outage: real limiters, seeded, all of them eager."""
 
 import random
 from collections import deque
@@ -12,7 +12,7 @@
 OUTAGE, BACK, STEP = 10.0, 20.0, 0.05  # begins, ends, and the step of the clock
 
 
-def pacers(processes, rate, chance, forgot):
+def limiters(processes, rate, chance, forgot):
     """One a process, as uneven traffic before the outage has made it; some have just restarted."""
     rules = it.Rules(cold_share=SHARE, cold_time=WARM, overload_factor=FACTOR, fall_time=FALL)
     topics, kinds = (it.TopicType("t", it.Effect.REPEATABLE, 2.0, 16.0),), (it.Kind("k"),)
@@ -23,34 +23,34 @@
     for part in parts:
         module = Brain(settings, chance.random())
         module.round(0.0, [it.ListUpdate((it.Endpoint("a", "z", "k", 7, rate=told),), whole=True)])
-        pacer, at = module.routes["a"].pacer, 0.0
+        limiter, at = module.routes["a"].limiter, 0.0
         while (at := at + chance.expovariate(0.9 * rate * part / sum(parts))) < OUTAGE:
-            pacer.taken.add(at)
-        pacer.taken.sum *= chance.random() >= forgot
-        yield pacer
+            limiter.delivered.add(at)
+        limiter.delivered.weighted_count *= chance.random() >= forgot
+        yield limiter
 
 
 def sent(fleet, waits, chance):
     """When calls go out once the partner is back. waits: it was shut, and told all when it returns."""
-    for pacer in fleet:
-        pacer.at = OUTAGE
+    for limiter in fleet:
+        limiter.refilled_at = OUTAGE
         if waits:
             at = chance.uniform(OUTAGE, OUTAGE + 2.0)
-            pacer.bad(at, at, True, BACK - at)
-            pacer.wait_until = max(pacer.wait_until, BACK)
+            limiter.record_failure(at, at, True, BACK - at)
+            limiter.wait_until = max(limiter.wait_until, BACK)
         else:
-            pacer.down(OUTAGE)
+            limiter.mark_down(OUTAGE)
     now = OUTAGE
     while (now := now + STEP) < BACK + WARM:
-        for pacer in fleet:
-            if pacer.ready_at(now) > now:
+        for limiter in fleet:
+            if limiter.ready_at(now) > now:
                 continue
-            pacer.took(True, now)
+            limiter.take_token(True, now)
             if now >= BACK:
-                pacer.good(now, now, True)
+                limiter.record_success(now, now, True)
                 yield now
             else:
-                pacer.bad(now, now, False)
+                limiter.record_failure(now, now, False)
 
 
 @pytest.mark.parametrize("waits", [False, True])
@@ -62,7 +62,7 @@
     for seed in range(1 if processes == 200 else 4):
         chance = random.Random(1000 * processes + 10 * allowed + seed)
         rate = allowed / (FACTOR * SHARE * FALL)
-        fleet, window, worst = list(pacers(processes, rate, chance, forgot=0.25)), deque(), -1e9
+        fleet, window, worst = list(limiters(processes, rate, chance, forgot=0.25)), deque(), -1e9
         for at in sent(fleet, waits, chance):
             window.append(at)
             while window[0] <= at - FALL:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -57,21 +57,21 @@
     def test_a_broken_module_is_caught(self):
         """The judge sees what the guards prevent: each is taken out in turn."""
         class Again(Brain):
-            again = Brain.park
-            def may_push(self, ntf, route):
-                return ntf.state == "parked" and not ntf.out
+            park_or_give_up = Brain.park
+            def may_push(self, held, route):
+                return held.state == "parked" and not held.in_flight
 
-            def begin_in(self, ntf):
+            def begin_timeout(self, held):
                 return math.inf
 
         class Deaf(Brain):
-            def may_push(self, ntf, route):
+            def may_push(self, held, route):
                 drained, route.state = route.state, "closed"
-                good = super().may_push(ntf, route)
+                good = super().may_push(held, route)
                 route.state = drained
                 return good
 
-            def opens(self, route):
+            def may_start_call(self, route):
                 return True
 
         lost = [{"kind": "lost", "at": 2.0, "for": 10.0, "part": 1.0}]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from ryestack import interface as it
-from ryestack.brain.invariants import MOST_DRAINED, Invariants, Rule
+from ryestack.brain.invariants import MAX_DRAINED, Invariants, Rule
 from ryestack.interface import Result
 from ryestack.lifecycle.admission import Refusal
 from ryestack.lifecycle.pushing import Unsent
@@ -21,21 +21,21 @@
 
 
 class Checks(unittest.TestCase):
-    def check(self, checks, topic=AGAIN, now=10.0, due=20.0, maybe_at=INF, notice=None):
+    def check(self, checks, topic=AGAIN, now=10.0, due=20.0, may_have_run_at=INF, notice=None):
         owed = SimpleNamespace(notice=notice)
-        return checks.check_push(it.Push("n", "a", 1.0), owed, topic, now, due, maybe_at)
+        return checks.check_push(it.Push("n", "a", 1.0), owed, topic, now, due, may_have_run_at)
 
     def test_what_may_be_sent_passes_and_each_broken_rule_is_named_and_counted(self):
         checks = Invariants()
-        for topic, maybe_at in ((AGAIN, INF), (AGAIN, 1.0), (ONCE, INF), (MERGE, 8.0), (CELL, INF)):
-            self.assertIsNone(self.check(checks, topic, maybe_at=maybe_at))
+        for topic, may_have_run_at in ((AGAIN, INF), (AGAIN, 1.0), (ONCE, INF), (MERGE, 8.0), (CELL, INF)):
+            self.assertIsNone(self.check(checks, topic, may_have_run_at=may_have_run_at))
         self.assertEqual(checks.counts.total(), 0)
         for rule, more in (
             (Rule.AFTER_ITS_END, {"notice": {"state": "failed"}}),
             (Rule.AFTER_ITS_TIME, {"now": 20.0}),
-            (Rule.REPEATED, {"topic": ONCE, "maybe_at": 9.0}),
-            (Rule.REPEATED, {"topic": MERGE, "maybe_at": 7.0}),
-            (Rule.REPEATED, {"topic": CELL, "maybe_at": 9.0}),
+            (Rule.REPEATED, {"topic": ONCE, "may_have_run_at": 9.0}),
+            (Rule.REPEATED, {"topic": MERGE, "may_have_run_at": 7.0}),
+            (Rule.REPEATED, {"topic": CELL, "may_have_run_at": 9.0}),
         ):
             self.assertIs(self.check(checks, **more), rule)
         self.assertEqual(checks.counts, {Rule.AFTER_ITS_END: 1, Rule.AFTER_ITS_TIME: 1, Rule.REPEATED: 3})
@@ -48,12 +48,12 @@
         self.assertIs(self.check(checks), Rule.TWO_OUT)
         checks.ended("n", 0)
         self.assertIsNone(self.check(checks))
-        self.assertEqual(checks.out, {})
+        self.assertEqual(checks.in_flight, {})
 
     def test_waits_bind_from_the_head_or_the_outcome_on(self):
         for told in (it.WaitRequested("a", 2.0), it.Outcome("m", 0, "a", Result.FULL, wait=2.0)):
             checks = Invariants()
-            checks.hear(told, 9.0)
+            checks.observe(told, 9.0)
             self.assertIs(self.check(checks, now=10.9), Rule.WITHIN_WAIT)
             self.assertIsNone(self.check(checks, now=11.0))
 
@@ -65,23 +65,23 @@
             it.ListUpdate((other,), whole=True),
         ):
             checks = Invariants()
-            checks.hear(it.ListUpdate((ready,), whole=True), 1.0)
+            checks.observe(it.ListUpdate((ready,), whole=True), 1.0)
             self.assertIsNone(self.check(checks))
-            checks.hear(told, 2.0)
+            checks.observe(told, 2.0)
             self.assertIs(self.check(checks), Rule.TO_DRAINED)
-            checks.hear(it.ListUpdate((ready,)), 3.0)
+            checks.observe(it.ListUpdate((ready,)), 3.0)
             self.assertIsNone(self.check(checks))
 
     def test_what_it_remembers_of_endpoints_that_are_gone_is_bounded(self):
         checks = Invariants()
-        for n in range(MOST_DRAINED + 50):
+        for n in range(MAX_DRAINED + 50):
             gone = it.Endpoint(f"e{n}", "z", "k", 7, it.EndpointStatus.GONE)
-            checks.hear(it.ListUpdate((gone,)), 1.0)
-        self.assertEqual(len(checks.drained), MOST_DRAINED)
+            checks.observe(it.ListUpdate((gone,)), 1.0)
+        self.assertEqual(len(checks.drained), MAX_DRAINED)
 
     def test_nothing_is_started_once_the_process_ends(self):
         checks = Invariants()
-        checks.hear(it.ShuttingDown(9.5), 9.0)
+        checks.observe(it.ShuttingDown(9.5), 9.0)
         self.assertIs(self.check(checks), Rule.WHILE_ENDING)
 
 
--- a/tests/test_list_change.py
+++ b/tests/test_list_change.py
@@ -49,8 +49,8 @@
 
 
 def count_walks(made):
-    made.routes, made.dests = CountedTable(made.routes), CountedTable(made.dests)
-    return lambda: made.routes.walks + made.dests.walks
+    made.routes, made.destinations = CountedTable(made.routes), CountedTable(made.destinations)
+    return lambda: made.routes.walks + made.destinations.walks
 
 
 def test_a_change_looks_through_neither_routes_nor_destinations():
@@ -60,7 +60,8 @@
     made.round(2.0, [it.ListUpdate((endpoint(7),))])
     for at, part in ((3.0, "a"), (4.0, "b")):
         made.round(at, [it.ListUpdate((endpoint(8, part, EndpointStatus.GONE),))])
-    assert (8 in made.dests, 7 in made.dests, "8-a" in made.routes, walks()) == (False, True, False, 0)
+    assert 8 not in made.destinations and 7 in made.destinations
+    assert "8-a" not in made.routes and walks() == 0
 
 
 def test_a_full_hold_looks_only_where_something_waits():
@@ -107,13 +108,13 @@
         elif what == "ask":
             asked += 1
             heard = [notification(f"n{asked}", told[0], now + 20.0)]
-        elif what == "end" and made.out:
-            (name, push), (call, _) = next(iter(made.out.items()))
+        elif what == "end" and made.in_flight:
+            (name, push), (call, _) = next(iter(made.in_flight.items()))
             heard = [it.Outcome(name, push, call.route.id, told[0], 0.1)]
         now += told[0] if what == "wait" else 0.01
         made.round(now, heard)
-        assert set(made.waiting.values()) == {dest for dest in made.dests.values() if dest.parked}
+        assert set(made.waiting.values()) == {dest for dest in made.destinations.values() if dest.parked}
         assert set(made.draining.values()) == {r for r in made.routes.values() if r.state == "draining"}
-        assert made.bare == {number: dest for number, dest in made.dests.items() if not dest.order}
+        assert made.routeless == {n: dest for n, dest in made.destinations.items() if not dest.route_list}
         if what in ("list", "whole"):
-            assert all(dest.order or dest.parked or dest.calls for dest in made.dests.values())
+            assert all(dest.route_list or dest.parked or dest.calls for dest in made.destinations.values())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -132,9 +132,9 @@
         while not asked:
             now += 0.01
             asked = [a for a in made.round(now, [it.TimerFired()]) if isinstance(a, it.AskForList)]
-        assert Brain.NEAR / 2 - 1e-9 <= now - failed <= Brain.NEAR + 0.02
+        assert Brain.AGENT_RETRY_S / 2 - 1e-9 <= now - failed <= Brain.AGENT_RETRY_S + 0.02
     # The agent may come back a moment after an asking began that it does not answer any more.
-    assert following.GRACE + Brain.NEAR < DRAIN
+    assert following.GRACE + Brain.AGENT_RETRY_S < DRAIN
 
 
 def test_past_the_clock_a_route_gets_new_work_only_while_a_delivery_of_late_speaks_for_it():
@@ -190,4 +190,4 @@
     took, update, heads = asyncio.run(play())
     assert update.endpoints[0].status is EndpointStatus.DRAINING
     assert b"hold_ms=0" in heads[0] and b"hold_ms=1500" in heads[1] and b"hold_ms=0" in heads[2]
-    assert took < Brain.TOLD
+    assert took < Brain.MAX_LIST_AGE_S
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -105,7 +105,7 @@
         sink = io.StringIO()
         log.setup("n0", sink=sink)
         self.addCleanup(logger.remove)
-        plain, watched = brain(routes=("a",)), Watched(brain(routes=("a",)).set, 1)
+        plain, watched = brain(routes=("a",)), Watched(brain(routes=("a",)).settings, 1)
         watched.__dict__ |= {k: v for k, v in brain(routes=("a",)).__dict__.items()}
         for made in (plain, watched):
             acts = []
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -87,7 +87,7 @@
         late.answer_by, soon.answer_by = self.now - 0.01, self.now
         o.round([late, soon])
         self.assertEqual([m.verdict.result()[0] for m in (late, soon)], [Verdict.THROTTLED, Verdict.TAKEN])
-        self.assertEqual((list(o.ledger.owed), list(o.brain.held)), (["soon"], ["soon"]))
+        self.assertEqual((list(o.ledger.owed), list(o.brain.notifications)), (["soon"], ["soon"]))
         self.assertEqual(self.sent, [("soon", 0)])
         self.assertEqual(o.ended["again", "throttled"], 1)
 
@@ -147,7 +147,7 @@
         o.round([self.hand_in("p"), it.Outcome("m", 0, "a", Result.ERROR)])
         self.assertEqual(list(o.ledger.owed), ["m"])
         o.round(o.take_queue())
-        self.assertNotIn("p", o.brain.held)
+        self.assertNotIn("p", o.brain.notifications)
         o.round([it.Outcome("m", 1, "a", Result.DELIVERED)])
         self.assertEqual(o.ledger.owed, {})
 
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -21,13 +21,13 @@
         [(name, route)] = pushes(b.round(1.0 + n, [take(f"n{n}", due=90.0)])) or [("", "")]
         if name:
             b.round(1.5 + n, [end(name, route, Result.FULL, limit=50.0, limit_left=0.0)])
-    b.dests[7].habit.counts = True
-    b.routes["a"].pacer.taken.add(9.0)
+    b.destinations[7].refusal_cost.proven = True
+    b.routes["a"].limiter.delivered.add(9.0)
     remembered.save(str(tmp_path), learned_state.export(b), "s", NOW)
     again = brain(routes=("a",), rate=50.0, relays=40)
     learned_state.restore(again, remembered.load(str(tmp_path), "s", SOON).learnt)
-    assert again.dests[7].habit.counts
-    assert again.routes["a"].pacer.taken.rate(12.0) == b.routes["a"].pacer.taken.rate(12.0) > 0.0
+    assert again.destinations[7].refusal_cost.proven
+    assert again.routes["a"].limiter.delivered.rate(12.0) == b.routes["a"].limiter.delivered.rate(12.0) > 0.0
 
 
 @pytest.mark.parametrize(
@@ -86,6 +86,53 @@
     assert remembered.load(folder, "s", Moment(12.0, "another")) == remembered.Remembered(None, {})
 
 
+# Every stored key, as a build before the renames of the attributes wrote it.
+WRITTEN_BY_AN_OLDER_BUILD = {
+    "routes": {
+        "a": [
+            {"state": "trial", "until": 7.0, "silent": True, "mute": True, "good_at": 3.0,
+             "lanes": {"again": 24.0}},
+            {"row": 2, "good": 0.25, "bad": 1.5, "at": 1.25},
+            {"told": 40.0, "rough": 1.25, "tokens": 0.75, "at": 1.5, "back": 0.4, "refusals": 1,
+             "hungry": 1.1, "bad_since": 1.2, "cold": 6.0, "wait_until": 5.0, "ease": 1.4, "opens": 8.0},
+            {"sum": 2.5, "at": 1.75},
+        ]
+    },
+    "dests": {
+        "7": [
+            {"usual": 0.3, "seen": 5, "hungry": 0.9, "credit": 2.5, "credit_at": 1.6},
+            {"row": 1, "good": 0.5, "bad": 1.0, "at": 1.3},
+            {"bins": [0.5] * 19, "count": 9.5},
+        ]
+    },
+    "short": {"shared": 60.0},
+    "habits": {"shared": {"score": 4, "counts": True}},
+    "times": {"bins": [1.5] * 19, "count": 28.5},
+}
+
+
+def test_what_an_older_build_wrote_is_restored_and_written_again_under_the_same_keys():
+    made = brain(routes=("a",))
+    learned_state.restore(made, WRITTEN_BY_AN_OLDER_BUILD)
+    route, dest = made.routes["a"], made.destinations[7]
+    assert (route.state, route.open_until, route.may_have_run, route.unanswered) == ("trial", 7.0, True, True)
+    assert (route.delivered_sent, route.avoided_topics) == (3.0, {"again": 24.0})
+    failures = route.failures
+    assert (failures.consecutive, failures.successes, failures.failures) == (2, 0.25, 1.5)
+    assert (failures.updated_at, dest.failures.consecutive) == (1.25, 1)
+    limiter = route.limiter
+    assert (limiter.reported_rate, limiter.rate_error, limiter.tokens) == (40.0, 1.25, 0.75)
+    assert (limiter.refilled_at, limiter.backoff, limiter.refusals) == (1.5, 0.4, 1)
+    assert (limiter.last_call_at, limiter.failing_since, limiter.cold_since) == (1.1, 1.2, 6.0)
+    assert (limiter.wait_until, limiter.learned_gain, limiter.reopens_at) == (5.0, 1.4, 8.0)
+    assert (limiter.delivered.weighted_count, limiter.delivered.updated_at) == (2.5, 1.75)
+    assert (dest.usual_duration, dest.deliveries, dest.waiting_since) == (0.3, 5, 0.9)
+    assert (dest.retry_credit, dest.credit_at, dest.durations.count) == (2.5, 1.6, 9.5)
+    assert (dest.refusal_cost.score, dest.refusal_cost.proven) == (4, True)
+    assert made.short_until == {"shared": 60.0} and made.durations.bins == [1.5] * 19
+    assert learned_state.export(made) == WRITTEN_BY_AN_OLDER_BUILD
+
+
 def test_the_mark_of_the_settings_is_the_one_that_older_builds_write():
     """It holds the names of settings and classes: with a new name, an upgrade would drop what is learnt."""
     of_older_builds = 4197461813  # crc32 of the text, as written at revision a38065f
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -58,7 +58,7 @@
         self.assertEqual((kinds(acts, it.Expire), pushes(acts)), (["n"], [("m", "b")]))
         acts = b.round(1.2, [take("o", "once")]) + b.round(1.3, [end("o", "b", Result.ERROR)])
         self.assertEqual(kinds(acts, it.Throttle), ["o"])  # one push is all that it may have now
-        self.assertEqual(b.slots + len({id(call) for call, _ in b.out.values()}), 20)
+        self.assertEqual(b.slots + len({id(call) for call, _ in b.in_flight.values()}), 20)
 
 
 class Whole(Folder, unittest.TestCase):
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from ryestack import interface as it
-from ryestack.brain.rate_limiter import Pacer
+from ryestack.brain.rate_limiter import RateLimiter
 from ryestack.brain.routes import Call
 from ryestack.interface import Result
 
@@ -24,30 +24,30 @@
 
     def test_shut_at_one_route_its_sisters_come_back_cold_too(self):
         _, hit, sister = self.shut()
-        self.assertEqual((hit.pacer.cold, sister.pacer.cold), (inf, inf))
-        self.assertEqual(sister.pacer.bad_since, 1.0)
+        self.assertEqual((hit.limiter.cold_since, sister.limiter.cold_since), (inf, inf))
+        self.assertEqual(sister.limiter.failing_since, 1.0)
         _, hit, sister = self.shut("apart")
-        self.assertEqual((hit.pacer.cold, sister.pacer.cold), (inf, None))
+        self.assertEqual((hit.limiter.cold_since, sister.limiter.cold_since), (inf, None))
 
     def test_a_route_listed_within_an_outage_is_as_cold_as_its_sisters(self):
         for kind, cold in (("shared", inf), ("apart", None)):
             made, _, _ = self.shut(kind)
             made.round(2.0, [it.ListUpdate((it.Endpoint("c", "z", kind, 7, rate=50.0),))])
-            self.assertEqual(made.routes["c"].pacer.cold, cold)
+            self.assertEqual(made.routes["c"].limiter.cold_since, cold)
         made, hit, _ = self.shut()
-        hit.pacer.cold = 8.0  # back since
-        made.routes["a"].pacer.cold = made.routes["b"].pacer.cold = 8.0
+        hit.limiter.cold_since = 8.0  # back since
+        made.routes["a"].limiter.cold_since = made.routes["b"].limiter.cold_since = 8.0
         made.round(9.0, [it.ListUpdate((it.Endpoint("c", "z", "shared", 7, rate=50.0),))])
-        self.assertEqual(made.routes["c"].pacer.cold, 8.0)
+        self.assertEqual(made.routes["c"].limiter.cold_since, 8.0)
 
     def test_cold_a_call_takes_from_the_buckets_of_all_sisters_and_they_fill_as_one(self):
         made, hit, sister = self.shut()
-        hit.pacer.tokens = sister.pacer.tokens = 1.0
+        hit.limiter.tokens = sister.limiter.tokens = 1.0
         made.round(6.5, [take("m")])
-        self.assertLessEqual(max(hit.pacer.tokens, sister.pacer.tokens), 0.1)
-        self.assertEqual(hit.pacer.part(6.5), sister.pacer.part(6.5))
-        hit.pacer.cold = None
-        self.assertEqual(hit.pacer.part(6.5), 25.0)
+        self.assertLessEqual(max(hit.limiter.tokens, sister.limiter.tokens), 0.1)
+        self.assertEqual(hit.limiter.fair_share(6.5), sister.limiter.fair_share(6.5))
+        hit.limiter.cold_since = None
+        self.assertEqual(hit.limiter.fair_share(6.5), 25.0)
 
 
 class Shapes(unittest.TestCase):
@@ -97,40 +97,40 @@
 
     def test_a_busy_relays_part_follows_what_is_delivered_of_its_own(self):
         b = brain(routes=("a",), rate=100.0, relays=200)
-        pacer = b.routes["a"].pacer
+        limiter = b.routes["a"].limiter
         for i in range(600):
-            pacer.good(i * 0.1, i * 0.1, True)
-        self.assertAlmostEqual(pacer.part(60.0), 10.0 * (1 - 0.5**2), delta=1.0)
+            limiter.record_success(i * 0.1, i * 0.1, True)
+        self.assertAlmostEqual(limiter.fair_share(60.0), 10.0 * (1 - 0.5**2), delta=1.0)
 
     def test_two_failed_connections_of_a_thin_part_prove_no_outage(self):
         b = brain(routes=("a",), rate=4.0, relays=200)
-        pacer = b.routes["a"].pacer
+        limiter = b.routes["a"].limiter
         for at in (1.0, 9.0):
-            for tally in (b.routes["a"].tally, b.dests[7].tally):
+            for tally in (b.routes["a"].failures, b.destinations[7].failures):
                 tally.add(at, False)
-            pacer.bad(at, at, False, ran=False)
-        self.assertIsNone(pacer.cold)
+            limiter.record_failure(at, at, False, may_have_run=False)
+        self.assertIsNone(limiter.cold_since)
 
     def test_a_cold_part_follows_what_was_delivered_and_no_surge(self):
         b = brain(routes=("a",), rate=20.0, relays=200)
-        pacer = b.routes["a"].pacer
-        pacer.down(0.5)
-        self.assertAlmostEqual(pacer.part(1.0), 0.1)
+        limiter = b.routes["a"].limiter
+        limiter.mark_down(0.5)
+        self.assertAlmostEqual(limiter.fair_share(1.0), 0.1)
         b.round(1.0, [take(f"n{i}") for i in range(60)])  # found by hunt: a clump at all relays
-        self.assertAlmostEqual(pacer.part(1.0), 0.1)
+        self.assertAlmostEqual(limiter.fair_share(1.0), 0.1)
         for _ in range(9):
-            pacer.taken.add(1.0)
-        self.assertAlmostEqual(pacer.part(1.0), 9 * 0.693 / 30.0)
+            limiter.delivered.add(1.0)
+        self.assertAlmostEqual(limiter.fair_share(1.0), 9 * 0.693 / 30.0)
 
     def test_a_call_waits_to_gather_only_where_more_than_one_comes_in_time(self):
         b = brain(kind="bulk", routes=("a",), rate=20.0, relays=200)
-        self.assertFalse(b.routes["a"].pacer.gathers(1.0))
-        self.assertTrue(brain(kind="bulk", routes=("a",), rate=20.0).routes["a"].pacer.gathers(1.0))
+        self.assertFalse(b.routes["a"].limiter.gathers(1.0))
+        self.assertTrue(brain(kind="bulk", routes=("a",), rate=20.0).routes["a"].limiter.gathers(1.0))
 
     def test_after_a_limit_used_up_pushes_have_a_budget(self):
         b = brain(kind="apart", rate=50.0)
         b.round(0.5, [])
-        b.dests[7].credit, b.dests[7].credit_at = -9.0, 1.0
+        b.destinations[7].retry_credit, b.destinations[7].credit_at = -9.0, 1.0
         b.round(1.0, [take("n"), take("m")])
         used_up = end("n", "a", Result.FULL, limit=50.0, limit_left=0.0)
         self.assertEqual(pushes(b.round(1.1, [used_up])), [])  # each asked earns half of one
@@ -140,7 +140,7 @@
     def test_what_waits_for_the_budget_is_sent_though_nothing_more_is_asked(self):
         b = brain(routes=("a",), rate=20.0)
         b.round(0.5, [])
-        b.dests[7].credit, b.dests[7].credit_at = -0.5, 1.0
+        b.destinations[7].retry_credit, b.destinations[7].credit_at = -0.5, 1.0
         b.round(1.0, [take("n")])
         now, acts = 1.1, b.round(1.1, [end("n", "a", Result.FULL, limit=20.0, limit_left=0.0)])
         while not pushes(acts) and now < 9.0:
@@ -148,7 +148,7 @@
             acts = b.round(now, [it.TimerFired()])
         self.assertLess(now, 5.0)
         quiet = brain(kind="apart", rate=2.0, relays=4)  # woken by what it asked for alone
-        quiet.dests[7].credit, quiet.dests[7].credit_at = 0.0, 1.0
+        quiet.destinations[7].retry_credit, quiet.destinations[7].credit_at = 0.0, 1.0
         now, events, woken, sent = 1.0, [take("n")], [], []
         while now < 19.0:
             acts = quiet.round(now, events)
@@ -165,26 +165,26 @@
     def test_with_one_slot_a_call_is_not_overdue_at_once(self):
         b = brain(routes=("a",), slots=1)
         b.round(1.0, [take("n")])
-        [call] = {c for c, _ in b.out.values()}
-        due = [when for when, _, what, subject in b.heap if subject is call]
-        self.assertGreaterEqual(due[0], 1.0 + 1.9 * b.dests[7].times.quantile(0.9))
+        [call] = {c for c, _ in b.in_flight.values()}
+        due = [when for when, _, what, subject in b.timers if subject is call]
+        self.assertGreaterEqual(due[0], 1.0 + 1.9 * b.destinations[7].durations.quantile(0.9))
 
     def test_a_wait_that_told_when_it_opens_begins_the_warm_up(self):
         for again, opened in ((0.0, True), (7.0, False)):  # down after that: no telling since when it is back
-            pacer = brain(routes=("a",)).routes["a"].pacer
-            pacer.bad(1.0, 1.1, True, 5.0)
+            limiter = brain(routes=("a",)).routes["a"].limiter
+            limiter.record_failure(1.0, 1.1, True, 5.0)
             if again:
-                pacer.bad(again, again + 0.1, True)
-            pacer.good(9.0, 9.1, True)
-            self.assertEqual(pacer.cold == 6.1, opened)
+                limiter.record_failure(again, again + 0.1, True)
+            limiter.record_success(9.0, 9.1, True)
+            self.assertEqual(limiter.cold_since == 6.1, opened)
 
     def test_a_proven_outage_is_no_want_of_connections(self):
         b = brain(routes=("a",))
         for n in range(4):
             call = Call(b.routes["a"], n + 1.0)
             b.now = n + 1.1
-            b.sick(call, Result.NO_CONNECTION)
-            self.assertEqual(b.short["shared"] > b.now, n < 2)
+            b.record_call_failure(call, Result.NO_CONNECTION)
+            self.assertEqual(b.short_until["shared"] > b.now, n < 2)
 
     def test_a_limit_too_small_to_divide_by_is_no_fault(self):
         b = brain(routes=("a",), relays=200)
@@ -192,17 +192,18 @@
         self.assertEqual(sent, [("n", "a")])
         b.round(2.1, [end("n", "a", Result.FULL, limit=5e-324, limit_left=0.0)])
         b.round(9.0, [take("m")])
-        self.assertGreaterEqual(b.routes["a"].pacer.rate(9.0), 0.1 / 200 * Pacer.LEAST)
+        self.assertGreaterEqual(b.routes["a"].limiter.rate(9.0), 0.1 / 200 * RateLimiter.MIN_GAIN)
 
     def test_silence_shows_sooner_where_slots_are_few(self):
         for slots, late in ((2, 1), (12, 0)):
             b = brain(routes=("a",), slots=slots)
-            b.times.add(1.0)
+            b.durations.add(1.0)
             b.round(1.0, [take("n")])
-            b.times.add(1.0)
-            [call] = {c for c, _ in b.out.values()}
-            due = [when for when, _, what, subject in b.heap if subject is call]
-            self.assertEqual(due[0] < 1.0 + 2.0 * b.dests[7].times.quantile(0.9) + 0.01, bool(late))
+            b.durations.add(1.0)
+            [call] = {c for c, _ in b.in_flight.values()}
+            due = [when for when, _, what, subject in b.timers if subject is call]
+            usual = b.destinations[7].durations.quantile(0.9)
+            self.assertEqual(due[0] < 1.0 + 2.0 * usual + 0.01, bool(late))
 
     def test_for_want_of_a_share_a_late_call_of_that_destination_gives_way(self):
         b = brain(routes=("a",), slots=2, may_cancel=True)
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -35,13 +35,13 @@
 class Avoided(unittest.TestCase):
     def test_what_gets_nothing_now(self):
         b = brain(routes=("a", "b", "c"), made=Watched)
-        self.assertEqual(b.avoided(["a", "b", "c", "unknown"]), [])
+        self.assertEqual(b.skipped_endpoints(["a", "b", "c", "unknown"]), [])
         b.round(1.0, [take(f"n{i}") for i in range(3)])
         b.round(1.1, [end(f"n{i}", "a", Result.ERROR) for i in range(3)])
         drained = it.Endpoint("b", "z", "shared", 7, it.EndpointStatus.DRAINING, 50.0)
         b.round(1.2, [it.ListUpdate((drained,))])
-        self.assertEqual(b.avoided(["a", "b", "c"]), ["a", "b"])
-        self.assertEqual(b.avoided(["c"]), [])
+        self.assertEqual(b.skipped_endpoints(["a", "b", "c"]), ["a", "b"])
+        self.assertEqual(b.skipped_endpoints(["c"]), [])
 
 
 class Text(unittest.TestCase):
