--- a/ryestack/brain/guard.py
+++ b/ryestack/brain/guard.py
@@ -34,7 +34,8 @@
     def takes_new(self, route):
         """Rules 3 and 6: the endpoint is not draining and asked for no wait that still lasts.
 
-        A list that was not confirmed for too long counts as draining it, unless it delivered since then.
+        Once the list was not confirmed for MAX_LIST_AGE_S, only a delivery sent within that time counts as
+        proof that the endpoint is not draining.
         """
         stale = self.now >= max(self.list_confirmed, route.delivered_sent) + self.MAX_LIST_AGE_S
         return not (route.state == "draining" or stale or self.now < route.limiter.wait_until)
--- a/ryestack/lab/runner.py
+++ b/ryestack/lab/runner.py
@@ -1,4 +1,4 @@
-"""Plays scenarios: one day, or many side by side, in results that are plain values."""
+"""Plays one day of a scenario in the emulator; results are plain values."""
 
 import gc
 import hashlib
@@ -21,12 +21,12 @@
 from .sim.world import World
 
 ROOT = Path(__file__).resolve().parents[2]
-PARTS = (0.5, 0.9, 0.99, 0.999)
+QUANTILES = (0.5, 0.9, 0.99, 0.999)
 
 
 @dataclass(slots=True)
 class Day:
-    """One day played. summary: plain values for tables and files; the rest is for plots."""
+    """The result of one day. summary: plain values for tables and files; the rest is for plots."""
 
     summary: dict
     series: dict[str, np.ndarray] = field(default_factory=dict)
@@ -37,8 +37,11 @@
 
 
 def policy_of(name: str):
-    """A policy by name; `ryestack@REV` is the module of a git revision, and `NAME:KEY=VALUE,...` one with
-    other constants, for studies. Raises BadScenario."""
+    """A policy by name.
+
+    `ryestack@REV` is the decision module of a git revision; `NAME:KEY=VALUE,...` a policy with other
+    constants, for studies. Raises BadScenario.
+    """
     name, colon, changes = name.partition(":")
     if colon:
         return _with(policy_of(name), changes)
@@ -52,7 +55,7 @@
 
 
 def _with(kind, changes: str):
-    """The same policy with some of its numbers changed."""
+    """A subclass of the policy with some of its numeric constants changed."""
     constants = {}
     for change in changes.split(","):
         key, _, value = change.partition("=")
@@ -81,22 +84,24 @@
         sys.modules[parent].interface = sys.modules[f"{parent}.interface"]
         try:
             _load(name, _text_at(revision, "ryestack/brain.py"), package=parent)
-        except BadScenario:  # it has been a package of several files since
-            listed = _text_at(revision, "ryestack/brain/").split("\n\n", 1)[1].split()
-            texts = {Path(file).stem: _text_at(revision, f"ryestack/brain/{file}") for file in listed}
+        except BadScenario:  # later revisions have a package in place of one file
+            files = _text_at(revision, "ryestack/brain/").split("\n\n", 1)[1].split()
+            texts = {Path(file).stem: _text_at(revision, f"ryestack/brain/{file}") for file in files}
             sys.meta_path.append(_Texts({f"{name}.{stem}": text for stem, text in texts.items()}))
             _load(name, texts["__init__"], package=name)
     return sys.modules[name].Brain
 
 
 def _text_at(revision: str, path: str) -> str:
-    got = subprocess.run(["git", "show", f"{revision}:{path}"], cwd=ROOT, capture_output=True, text=True)
-    if got.returncode:
-        raise BadScenario(f"revision {revision}: {got.stderr.strip().splitlines()[-1]}")
-    return got.stdout
+    """A file, or the listing of a directory, at a git revision; raises BadScenario."""
+    shown = subprocess.run(["git", "show", f"{revision}:{path}"], cwd=ROOT, capture_output=True, text=True)
+    if shown.returncode:
+        raise BadScenario(f"revision {revision}: {shown.stderr.strip().splitlines()[-1]}")
+    return shown.stdout
 
 
 def _load(name: str, text: str, package: str) -> None:
+    """Registers and executes a module from its text; it is the package itself if the names are equal."""
     module = types.ModuleType(name)
     module.__spec__ = importlib.util.spec_from_loader(name, loader=None, is_package=package == name)
     module.__package__ = package
@@ -107,7 +112,7 @@
 
 
 class _Texts(importlib.abc.MetaPathFinder, importlib.abc.InspectLoader):
-    """Imports the modules of one package from their texts."""
+    """Imports modules from their texts, by full name."""
 
     def __init__(self, texts: dict[str, str]):
         self.texts = texts
@@ -120,9 +125,9 @@
 
 
 def play(day: Scenario, seed: int, policy: str = "ryestack", trace=()) -> Day:
-    """One day from its seed: the same again each time, but for the times that the machine took."""
+    """Plays one day; the same seed gives the same result, except for the wall-clock times."""
     began, collects = time.perf_counter(), gc.isenabled()
-    gc.disable()  # no notification leaves a cycle behind, and there are millions of objects to look through
+    gc.disable()  # notifications leave no reference cycles, and a collection would scan millions of objects
     try:
         world = World(day, seed, policy_of(policy), trace)
         world.run()
@@ -131,22 +136,22 @@
             gc.enable()
     wall = time.perf_counter() - began
     inside = sum(r.inside for r in world.relays)
-    many = len(world.arrivals)
+    arrivals = len(world.arrivals)
     waits = np.array(world.accounts.times) if world.accounts.times else np.zeros(0)
-    quantiles = np.quantile(waits, PARTS).tolist() if len(waits) else [None] * len(PARTS)
+    quantiles = np.quantile(waits, QUANTILES).tolist() if len(waits) else [None] * len(QUANTILES)
     summary = {
         "scenario": day.name,
         "policy": policy,
         "seed": seed,
         **world.accounts.score(world.measured.counts),
-        "handed": many,
+        "handed": arrivals,
         "delivered": len(waits),
         **world.measured.counts,
         "late_again": world.judge.late_again,
         "rules": {str(rule): count for rule, count in world.judge.counts.items()},
         "broken": [f"rule {b.rule} at {b.at:.3f}, {b.id}: {b.what}" for b in world.judge.broken[:20]],
         "faults": [f"{s.kind} at {s.at:.1f} for {s.span:.1f}" for s in world.plan],
-        **{f"p{p * 100:g}": q for p, q in zip(PARTS, quantiles, strict=True)},
+        **{f"p{p * 100:g}": q for p, q in zip(QUANTILES, quantiles, strict=True)},
         "wall": {"seconds": wall, "inside": inside},
     }
     series = {name: values for name, values in world.measured.series.items()}
@@ -160,26 +165,28 @@
 
 
 def bare(summary: dict) -> dict:
-    """A summary without what the machine makes different: same seed, same bytes."""
+    """The summary without wall-clock times: the same seed gives the same bytes."""
     return {key: value for key, value in summary.items() if key != "wall"}
 
 
 def line_of(summary: dict) -> bytes:
+    """The bare summary as one line of JSON, for comparisons."""
     return json.dumps(bare(summary), sort_keys=True, separators=(",", ":")).encode()
 
 
 def rules_broken(summary: dict) -> int:
+    """The number of rule violations of the day."""
     return sum(summary["rules"].values())
 
 
 def mark_of(day: Scenario) -> str:
-    """A scenario's hash: the same for the same values, however its file is written."""
+    """A hash of the scenario's values, whatever the layout of its file."""
     text = json.dumps(table_of(day), sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def revision() -> str:
-    """Of the tree, with a + where the module differs from it."""
+    """The git revision of the work tree, with a + if the decision module differs from it."""
     try:
         head = subprocess.run(
             ["git", "rev-parse", "--short=12", "HEAD"], cwd=ROOT, capture_output=True, text=True
@@ -191,4 +198,5 @@
 
 
 def copy_of(day: Scenario, **changes) -> Scenario:
+    """The scenario with some of its values changed."""
     return msgspec.structs.replace(day, **changes)
