--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -97,12 +97,12 @@
     for part in chunks(destinations):
         entries = [list_row(d, n) for d in part for n in range(ENDPOINTS)]
         text = json.dumps({"index": 1, "snapshot": False, "endpoints": entries})
-        members.learn(json.loads(text))
+        members.apply_list(json.loads(text))
     del entries, text
     memory = resident() - before
     told = {"index": 1, "snapshot": True, "endpoints": list(members.rows.values())}
     text = json.dumps(told).encode()
-    seconds = median_seconds(lambda: Members().learn(json.loads(text)), 3)
+    seconds = median_seconds(lambda: Members().apply_list(json.loads(text)), 3)
     return {"list.bytes": len(text), "list.read": seconds, "list.memory": memory}
 
 
@@ -110,7 +110,7 @@
     """One question, one change of a row, and the leaving of one row."""
     members, chance, turn = Members(), random.Random(1), iter(range(10**9))
     entries = [list_row(d, n) for d in range(destinations) for n in range(ENDPOINTS)]
-    members.learn({"index": 1, "snapshot": True, "endpoints": entries})
+    members.apply_list({"index": 1, "snapshot": True, "endpoints": entries})
     asked = [chance.randrange(destinations) for _ in range(50)]
     known = median_seconds(lambda: [members.has(d) for d in asked], 3) / len(asked)
     unknown = median_seconds(lambda: members.has(destinations + 1))
@@ -120,12 +120,12 @@
         row = {**list_row(number % destinations, 0), "status": status}
         return {"index": number + 2, "snapshot": False, "endpoints": [row]}
 
-    learn = median_seconds(lambda: members.learn(changed("draining")))
+    learn = median_seconds(lambda: members.apply_list(changed("draining")))
     spent = []
     for _ in range(REPEATS):
-        members.learn(changed("removed"))
+        members.apply_list(changed("removed"))
         began = time.perf_counter()
-        members.leave()
+        members.drop_removed()
         spent.append(time.perf_counter() - began)
     return {
         "members.has": known,
--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -5,7 +5,7 @@
 
 from ..brain.invariants import Rule
 from ..observe import figures
-from ..ports import Closed
+from ..ports import CloseReason
 from .admission import Refusal
 from .phases import ACCEPT, PHASES, READY, REFUSED
 from .pushing import Unsent
@@ -21,7 +21,7 @@
 
     async def metrics(self) -> tuple[int, str, str]:
         parts, owner = self.parts, self.owner
-        listed = parts.directory.members.listed()
+        listed = parts.directory.members.listed_names()
         values = {
             "upstream_tries_total": parts.dispatcher.written,
             "in_progress": owner.in_progress(),
@@ -38,13 +38,13 @@
     def labelled(self) -> dict[str, dict[str, int]]:
         """Counts with a reason each, also of those that have not been seen yet."""
         owner = self.owner
-        closed = sum((listener.closed for listener in self.parts.listeners), Counter())
+        closed = sum((listener.closed_connections for listener in self.parts.listeners), Counter())
         return {
             "invariant_violations_total": {rule.value: owner.invariants.counts[rule] for rule in Rule},
             "refused_total": {why.value: owner.refused[why] for why in Refusal},
             "pushes_unsent_total": {why.value: owner.unsent[why] for why in Unsent},
             "retries_total": {after or "a life before": count for after, count in owner.retries.items()},
-            "client_connections_closed_total": {why.value: closed[why] for why in Closed},
+            "client_connections_closed_total": {why.value: closed[why] for why in CloseReason},
         }
 
     async def asked(self, what: str) -> tuple[int, str, str]:
@@ -56,7 +56,7 @@
 
     async def send_away(self) -> None:
         for listener in self.parts.listeners:
-            listener.leave()
+            listener.start_drain()
         loop = asyncio.get_running_loop()
         self.sending_away = loop.call_later(ACCEPT, lambda: loop.create_task(self.sent_away()))
 
@@ -67,7 +67,7 @@
     async def end_idle(self) -> None:
         self.owner.emptied = True
         for listener in self.parts.listeners:
-            listener.empty()
+            listener.close_idle_clients()
 
     async def resume(self) -> None:
         self.sending_away.cancel()
--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -5,7 +5,7 @@
 
 from .. import interface as it
 from ..observe.log import detailed, event
-from ..ports import HandIn, Verdict
+from ..ports import Submission, Verdict
 from ..store.owed import Owed, rules_of
 
 
@@ -29,17 +29,17 @@
         super().__init__()
         self.refused: Counter[Refusal] = Counter()
 
-    def before_hand_in(self, message: HandIn):
+    def before_hand_in(self, message: Submission):
         away = self.replication.turned_away()
         if why := self.refusal(message, away):
             self.turn_away(message, why, away or 0.0)
             return None
-        self.fresh[message.ntf.id] = message
-        return message.ntf
+        self.fresh[message.notification.id] = message
+        return message.notification
 
-    def refusal(self, message: HandIn, away: float | None) -> Refusal | None:
+    def refusal(self, message: Submission, away: float | None) -> Refusal | None:
         """Why it is refused before the decisions hear of it. away: seconds, where there are no replicas."""
-        name = message.ntf.id
+        name = message.notification.id
         if name in self.ledger.owed or name in self.fresh:
             return Refusal.ID_IN_USE
         if away is not None:
@@ -58,8 +58,8 @@
     def held_by_all(self) -> int:
         return self.held() + sum(self.held_by.values())
 
-    def take(self, message: HandIn) -> None:
-        n = message.ntf
+    def take(self, message: Submission) -> None:
+        n = message.notification
         due = n.due + self.wall
         rules = rules_of(n.terms, n.most) if n.terms else None
         head = n.id, due, n.destination, n.topic_type, n.customer, n.key, message.key
@@ -67,7 +67,7 @@
         if self.ledger.take(owed):
             self.counts["taken"] += 1
             self.told_taken(owed)
-            self.ledger.owed[n.id].heard = message.heard
+            self.ledger.owed[n.id].heard = message.acknowledged
             self.replication.took(owed, message)
         else:
             self.turn_away(message, Refusal.JOURNAL_FAILS)
@@ -77,17 +77,17 @@
         if detailed():
             event("ntf.taken", id=o.id, destination=o.dest, topic=o.topic, pushes=o.pushes)
 
-    def turn_away(self, message: HandIn, why: Refusal, away: float = 0.0) -> None:
+    def turn_away(self, message: Submission, why: Refusal, away: float = 0.0) -> None:
         """Not by a decision. away: seconds to stay away, 0 if none is told."""
         self.count_refusal(message, why)
         if why is Refusal.ID_IN_USE:
-            message.verdict.set_result((Verdict.UNREADABLE, 0.0))
+            message.verdict.set_result((Verdict.REJECTED, 0.0))
             return
         self.counts["turned away"] += 1
-        self.ended[message.ntf.topic_type, "throttled"] += 1
+        self.ended[message.notification.topic_type, "throttled"] += 1
         message.verdict.set_result((Verdict.THROTTLED, away))
 
-    def count_refusal(self, message: HandIn, why: Refusal) -> None:
+    def count_refusal(self, message: Submission, why: Refusal) -> None:
         self.refused[why] += 1
         if detailed():
-            event("request.refused", id=message.ntf.id, why=why.value)
+            event("request.refused", id=message.notification.id, why=why.value)
--- a/ryestack/lifecycle/assembly.py
+++ b/ryestack/lifecycle/assembly.py
@@ -6,12 +6,12 @@
 from ..store import remembered
 from ..store.journal import Journal
 from ..store.ledger import Ledger
-from ..wire.calls import Calls
+from ..wire.calls import CallDispatcher
 from ..wire.files import FileNotices
-from ..wire.members import Catalog, Fixed
-from ..wire.notices import Notices
-from ..wire.platform import Platform
-from ..wire.server import Clients
+from ..wire.members import FixedDirectory, RegistryDirectory
+from ..wire.notices import PlatformNotices
+from ..wire.platform import PlatformClient
+from ..wire.server import ClientListener
 from .config import Config
 from .owner import Owner
 from .terms import Terms
@@ -20,14 +20,14 @@
 CLIENTS_PART = 0.28  # of all: the listener opens a third at most, and no more while idle ones fill that
 SCOPE_PART = 8  # one in so many of the folder's bytes is for what control machines told
 FEWEST = 8  # connections a side, however few descriptors there are
-DIRECTORIES = {"catalog": Catalog, "fixed": Fixed}
+DIRECTORIES = {"catalog": RegistryDirectory, "fixed": FixedDirectory}
 
 
 @dataclass(slots=True)
 class Parts:
     ledger: Ledger
     owner: Owner
-    platform: Platform
+    platform: PlatformClient
     directory: Directory
     dispatcher: Dispatcher
     notices: NoticeSink
@@ -45,7 +45,7 @@
     journal_bytes = max(config.disk // 2, config.disk - remembered.MOST - scope_bytes)
     ledger = Ledger(Journal(config.state, journal_bytes))
     owner = Owner(settings, config.seed, ledger, clock, wall)
-    platform = Platform(config.discovery)
+    platform = PlatformClient(config.discovery)
     if scoped:
         from .scope.directory import ScopeDirectory  # most relays have none
 
@@ -58,15 +58,15 @@
     most = max(FEWEST, int(config.sockets * CLIENTS_PART))
     left = max(FEWEST, config.sockets - most - OWN_SOCKETS)
     members = directory.members
-    owner.dispatcher = Calls(settings, members, clock, owner.put, left)
+    owner.dispatcher = CallDispatcher(settings, members, clock, owner.put, left)
     if operator.ends.sink == "file":
         owner.notices = FileNotices(operator.ends.path, owner.told_platform)
     else:
-        owner.notices = Notices(platform, owner.told_platform)
+        owner.notices = PlatformNotices(platform, owner.told_platform)
     at = (config.host, config.port)
     terms = Terms(settings)
-    listener = Clients(settings, terms, members, clock, owner.hand_in, owner.withdraw, most, at)
-    listener.server.unanswered = owner.unanswered
+    listener = ClientListener(settings, terms, members, clock, owner.hand_in, owner.withdraw, most, at)
+    listener.server.on_unanswered_close = owner.unanswered
     peering = None
     if operator.peers.cluster:
         from .replication.peering import Peering  # most relays have none
--- a/ryestack/lifecycle/config.py
+++ b/ryestack/lifecycle/config.py
@@ -7,7 +7,7 @@
 from .. import interface as it
 from ..operator.schema import Operator
 from ..settings import BadSettings, MixedShapes, check_shape, lacking, read_settings
-from ..wire.members import UNREADABLE, BadList, read_list
+from ..wire.members import INVALID_VALUE_ERRORS, BadList, read_list
 
 
 class BadConfig(Exception):
@@ -68,7 +68,7 @@
         raise Mixed(f"{path}: {problem}") from None
     except (BadSettings, BadList) as problem:
         raise BadConfig(f"{path}: {problem}") from None
-    except (*UNREADABLE, AttributeError) as problem:
+    except (*INVALID_VALUE_ERRORS, AttributeError) as problem:
         raise BadConfig(f"{path}: a value of the wrong kind: {problem}") from None
 
 
@@ -117,7 +117,7 @@
         raise Mixed(str(problem)) from None
     except BadSettings as problem:
         raise BadConfig(str(problem)) from None
-    except (*UNREADABLE, AttributeError) as problem:
+    except (*INVALID_VALUE_ERRORS, AttributeError) as problem:
         raise BadConfig(f"a value of the wrong kind: {problem}") from None
 
 
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -29,7 +29,7 @@
             event("ntf.ended", id=action.id, how=how, after=round(away, 3))
         message = self.fresh.pop(action.id, None)
         if message:
-            self.ended[message.ntf.topic_type, how] += 1
+            self.ended[message.notification.topic_type, how] += 1
             self.count_refusal(message, Refusal.DECIDED)
             message.verdict.set_result((Verdict.THROTTLED if throttled else Verdict.EXPIRED, away))
         elif owed := self.ledger.owed.get(action.id):
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -12,7 +12,7 @@
 from ..brain import NEVER_RAN
 from ..interface import Result
 from ..observe.log import detailed, event
-from ..ports import Directory, Dispatcher, HandIn, NoticeSink
+from ..ports import Directory, Dispatcher, NoticeSink, Submission
 from ..store.ledger import Ledger
 from .admission import Admission
 from .ending import Ending
@@ -42,7 +42,7 @@
         self.counts = Counter()
         self.retries: Counter[str] = Counter()  # pushes again, by how the one before ended
         self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and how it ended
-        self.fresh: dict[str, HandIn] = {}
+        self.fresh: dict[str, Submission] = {}
 
     # -- the queue --------------------------------------------------------------------------------
 
@@ -50,7 +50,7 @@
         self.queue.extend(events)
         self.filled.set()
 
-    def hand_in(self, message: HandIn) -> None:
+    def hand_in(self, message: Submission) -> None:
         self.put([message])
 
     def retune(self, settings: it.Settings) -> None:
@@ -111,9 +111,9 @@
         for action in asked[it.HangUp]:
             self.dispatcher.close_idle(action.endpoint)
         if any(isinstance(h, it.ListUpdate) for h in heard):
-            self.dispatcher.forget()
+            self.dispatcher.drop_removed_endpoints()
         for _ in asked[it.AskForList]:
-            self.directory.ask()
+            self.directory.refresh()
         for action in asked[it.Wake]:
             asyncio.get_running_loop().call_later(action.after, self.put, [it.Woken()])
 
@@ -151,7 +151,7 @@
         return not self.queue and not self.ledger.owed
 
     BEFORE = {
-        HandIn: Admission.before_hand_in,
+        Submission: Admission.before_hand_in,
         it.Outcome: before_outcome,
         it.WaitTold: Siblings.before_wait,
         RemoteEvent: Siblings.before_remote_event,
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -8,7 +8,7 @@
 from ..brain.invariants import Invariants, Rule
 from ..interface import Result
 from ..observe.log import detailed, event
-from ..ports import Item
+from ..ports import PushMessage
 from ..store.owed import Owed, terms_of
 
 
@@ -33,7 +33,7 @@
         calls, unsent = defaultdict(list), []
         for each in pushes:
             item = self.prepared(each)
-            if isinstance(item, Item):
+            if isinstance(item, PushMessage):
                 self.counts["pushes"] += 1
                 calls[each.endpoint].append(item)
             else:
@@ -43,7 +43,7 @@
         if unsent:
             self.put(unsent)
 
-    def prepared(self, push: it.Push) -> Item | Unsent:
+    def prepared(self, push: it.Push) -> PushMessage | Unsent:
         """What the dispatcher sends, once it is in the journal that it may have run."""
         owed = self.ledger.owed.get(push.id)
         if owed is None:  # refused just now, for want of room in the journal
@@ -57,7 +57,7 @@
         may = self.replication.begin(push, owed)
         if may is None:
             return Unsent.NO_LEASE
-        return Item(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *may)
+        return PushMessage(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *may)
 
     def broken_rule(self, push: it.Push, owed: Owed) -> Rule | None:
         maybe_at, topic = owed.first_maybe() - self.wall, None
@@ -85,7 +85,7 @@
             return it.Outcome(push.id, owed.pushes - 1, push.endpoint, Result.NOT_SENT)
         return it.Outcome(push.id, owed.pushes, push.endpoint, Result.NOT_SENT, made=False)
 
-    def start(self, endpoint: str, items: list[Item]) -> None:
+    def start(self, endpoint: str, items: list[PushMessage]) -> None:
         for item in items:
             self.invariants.started(item.id, item.push)
             if item.push:
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -10,7 +10,7 @@
 
 from .. import interface as it
 from ..observe.log import event, flush
-from ..wire.staff import Staff
+from ..wire.staff import StaffServer
 from .admin import Admin
 from .assembly import assemble
 from .config import BadConfig, Config, load
@@ -87,7 +87,10 @@
     def busy(self) -> bool:
         """Requests under way; on the way out connections too: an exit resets what is on its way."""
         leaving = self.phase not in READY
-        return any(listener.busy or (leaving and listener.connections()) for listener in self.parts.listeners)
+        return any(
+            listener.requests_in_progress or (leaving and listener.connection_count())
+            for listener in self.parts.listeners
+        )
 
     async def open_listeners(self) -> None:
         parts = self.parts
@@ -121,19 +124,19 @@
                 ("PUT", "/-/drain"): partial(self.asked, "told to drain"),
                 ("PUT", "/-/resume"): partial(self.asked, "told to resume"),
             }
-            self.staff = Staff(calls, self.config.ops)
+            self.staff = StaffServer(calls, self.config.ops)
             event("staff.open", address=await self.staff.open())
 
     # -- the end ----------------------------------------------------------------------------------
 
     async def announce_stop(self) -> None:
         for listener in self.parts.listeners:
-            listener.leave()
+            listener.start_drain()
         self.owner.put([it.Leaving(self.stop_at + SHORT)])
 
     async def close_listeners(self) -> None:
         for listener in self.parts.listeners:
-            listener.shut()
+            listener.stop_accepting()
 
     async def wind_up(self) -> None:
         # A push decided from here on would never be made, and the next life would read that it may have run.
@@ -143,7 +146,7 @@
         if self.owner.queue:
             self.owner.round(self.owner.take_queue())
         until = min(self.clock(), self.stop_at + SHORT) + LAST  # a turn that comes late takes from it
-        while self.clock() < until and (self.parts.notices.waiting() or self.busy()):
+        while self.clock() < until and (self.parts.notices.pending_count() or self.busy()):
             await asyncio.sleep(LOOK)
 
     async def end(self) -> None:
@@ -205,8 +208,8 @@
             "relay.summary",
             counts=dict(self.owner.counts),
             owed=len(self.ledger.owed),
-            out=self.parts.dispatcher.out(),
-            clients=sum(listener.connections() for listener in self.parts.listeners),
+            out=self.parts.dispatcher.in_flight(),
+            clients=sum(listener.connection_count() for listener in self.parts.listeners),
             journal=self.ledger.journal.size,
             cpu=round(used.ru_utime + used.ru_stime, 2),
             memory=used.ru_maxrss // 1024,
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -121,7 +121,7 @@
         if not self.acts(shard):  # outside any shard: nobody else knows of it, or ever will
             self.counts[decided("hand-in", "no lease", self.alone)] += 1
             self.owner.ledger.alone(owed.id)
-            return self.verdict(message, Verdict.TAKEN)
+            return self.verdict(message, Verdict.ACCEPTED)
         self.shard_of[owed.id] = shard
         self.wait(shard, self.write(shard, [record_codec.taken(owed)]), partial(self.covers, owed, message))
 
@@ -129,7 +129,7 @@
         done = decided("hand-in", cover(covered), self.alone)
         self.counts[done] += 1
         if done != "leave in doubt":
-            return self.verdict(message, Verdict.TAKEN)
+            return self.verdict(message, Verdict.ACCEPTED)
         self.verdict(message, Verdict.EXPIRED)
         self.owner.withdraw(owed.id)
 
--- a/ryestack/lifecycle/replication/unreplicated.py
+++ b/ryestack/lifecycle/replication/unreplicated.py
@@ -10,7 +10,7 @@
 
     def took(self, owed, message) -> None:
         """It is in the journal: the client may hear of it."""
-        message.verdict.set_result((Verdict.TAKEN, 0.0))
+        message.verdict.set_result((Verdict.ACCEPTED, 0.0))
 
     def inherited(self, left: list) -> list:
         """Of what lives before us have left, what may be acted on now; the rest follows when it may."""
--- a/ryestack/lifecycle/scope/destinations.py
+++ b/ryestack/lifecycle/scope/destinations.py
@@ -11,7 +11,7 @@
 
 from ... import interface as it
 from ...control.messages import Entry
-from ...wire.members import UNREADABLE, Members, read_row
+from ...wire.members import INVALID_VALUE_ERRORS, Members, read_row
 
 PREFIX = "destination/"
 GONE = "removed"  # the status of an endpoint that is no longer listed
@@ -40,7 +40,7 @@
         for name, row in named.items():
             row["name"] = name
             read_row(row)
-    except (msgspec.MsgspecError, RecursionError, *UNREADABLE) as problem:
+    except (msgspec.MsgspecError, RecursionError, *INVALID_VALUE_ERRORS) as problem:
         raise BadEntry(f"its endpoints can't be read: {type(problem).__name__}: {problem}") from None
     if len(named) < len(rows):
         raise BadEntry("it names an endpoint twice")
@@ -93,4 +93,4 @@
         return [*listed.values(), *({"name": name, "status": GONE} for name in gone)]
 
     def _tell(self, rows: list[dict], version: int) -> it.ListUpdate:
-        return self.learn({"index": version, "snapshot": False, "endpoints": rows})
+        return self.apply_list({"index": version, "snapshot": False, "endpoints": rows})
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -16,7 +16,7 @@
 from ...control.subscription import Identity
 from ...observe.log import event
 from ...operator.schema import Control
-from ...ports import HandIn
+from ...ports import Submission
 from ...store import scope_file
 from ...store.scope_file import SavedScope
 from ..config import BadConfig
@@ -35,7 +35,8 @@
 
 
 class ScopeDirectory:
-    """A Directory; `bind` comes before all else, then `known`, `fresh` and `run`, and `close` at the end."""
+    """A Directory; `bind` comes before all else, then `initial_list`, `fetch_initial` and `run`, and `close`
+    at the end."""
 
     def __init__(self, control: Control, relay: str, owner, folder: str, most: int, seed: int) -> None:
         """most: bytes of the folder that the copy for the next start may take."""
@@ -68,7 +69,7 @@
             if entry.key == SETTINGS_KEY and self._check([entry]) is None:
                 self._change_settings(entry)
 
-    def known(self) -> it.ListUpdate:
+    def initial_list(self) -> it.ListUpdate:
         """What the life before had in force, also of destinations that had left its scope."""
         if self.saved is None:
             return it.ListUpdate(whole=True)
@@ -78,11 +79,11 @@
         version = self.saved.kept.version
         self.members.change(leaving, [], version)
         self.members.change(kept, [entry.key for entry in leaving], version)
-        return self.members.learn(
+        return self.members.apply_list(
             {"index": version, "snapshot": True, "endpoints": list(self.members.rows.values())}
         )
 
-    async def fresh(self) -> list[it.ListUpdate]:
+    async def fetch_initial(self) -> list[it.ListUpdate]:
         """What the machines say at once; their answers are followed from here on."""
         self._following = asyncio.ensure_future(self.client.run())
         until = self.owner.clock() + (FIRST_SECONDS if self.saved else FIRST_SCOPE_SECONDS)
@@ -103,7 +104,7 @@
             if self.owner.clock() > self._saved_at + SAVE_SECONDS:
                 self._save()
 
-    def ask(self) -> None:
+    def refresh(self) -> None:
         """The machines are followed all the time."""
 
     def age(self) -> float:
@@ -178,7 +179,9 @@
     def _owed(self) -> set[int]:
         """Destinations of which something is to be delivered, or was just handed in."""
         owed = {owed.dest for owed in self.owner.ledger.owed.values() if not owed.notice}
-        return owed | {each.ntf.destination for each in self.owner.queue if isinstance(each, HandIn)}
+        return owed | {
+            each.notification.destination for each in self.owner.queue if isinstance(each, Submission)
+        }
 
     def _save(self) -> None:
         age, now = self.age(), self.owner.clock() + self.owner.wall
--- a/ryestack/lifecycle/settings_taker.py
+++ b/ryestack/lifecycle/settings_taker.py
@@ -39,6 +39,6 @@
         self.parts.terms.change(settings, self.clock())
         self.owner.retune(settings)
         for part in (self.parts.dispatcher, *self.parts.listeners):
-            part.retune(settings)
+            part.apply_settings(settings)
         self.config = replace(self.config, settings=settings)
         event("settings.changed", topics=",".join(topic.name for topic in settings.topic_types))
--- a/ryestack/lifecycle/starting.py
+++ b/ryestack/lifecycle/starting.py
@@ -30,7 +30,7 @@
                 self.owner.hear(self.channel, ["began", endpoint, items])
         except (TypeError, ValueError, KeyError) as problem:
             event("line.broken", why=f"the calls that it has out make no sense: {problem!r}")
-        known = [self.parts.directory.known(), *await self.parts.directory.fresh()]
+        known = [self.parts.directory.initial_list(), *await self.parts.directory.fetch_initial()]
         self.owner.recover(known, learnt, beside, failed)
 
     async def open_ledger(self) -> None:
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -94,5 +94,5 @@
 
     async def hand_over_listeners(self) -> None:
         for listener in self.parts.listeners:
-            listener.replaced()
+            listener.yield_to_successor()
         self.owner.put([it.Leaving(self.stop_at + SHORT)])
--- a/ryestack/ports.py
+++ b/ryestack/ports.py
@@ -23,25 +23,25 @@
 class Verdict(Enum):
     """What the relay made of a hand-in."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     THROTTLED = "throttled"  # handing it in again is harmless
     EXPIRED = "expired"  # nothing is promised of its effect
-    UNREADABLE = "unreadable"  # it cannot be taken as it is: its id is in use
+    REJECTED = "unreadable"  # it cannot be taken as it is: its id is in use
 
 
-class Closed(Enum):
+class CloseReason(Enum):
     """What ended a client's connection; the words are those of the counter and of the log."""
 
     CLIENT = "its client"
-    IDLE = "idle for long"
-    ROOM = "room for another"
-    LEAVING = "a stop or a drain"
-    ANSWERED = "behind its last answer"
-    STALE = "a request that its client had given up"
+    IDLE_TIMEOUT = "idle for long"
+    EVICTED = "room for another"
+    SHUTDOWN_OR_DRAIN = "a stop or a drain"
+    AFTER_LAST_ANSWER = "behind its last answer"
+    STALE_REQUEST = "a request that its client had given up"
 
 
 @dataclass(slots=True)
-class HandIn:
+class Submission:
     """A notification that a client hands in.
 
     verdict: what the relay made of it, (Verdict, seconds to stay away, 0 if none is told). heard: whether
@@ -50,16 +50,16 @@
     have before it can be told.
     """
 
-    ntf: it.Notification
+    notification: it.Notification
     key: str
     body: bytes
     verdict: Future[tuple[Verdict, float]]
-    heard: Future[bool]
+    acknowledged: Future[bool]
     answer_by: float = inf
 
 
 @dataclass(slots=True)
-class Item:
+class PushMessage:
     """One notification of a call; heard tells whether its client knows that it is taken on (None: it does).
 
     timeout: seconds, of the whole call; begin: the same for its first byte, for after that it may not go.
@@ -71,7 +71,7 @@
     timeout: float
     key: str
     body: bytes
-    heard: Future[bool] | None
+    acknowledged: Future[bool] | None
     begin: float = inf
     cleared: Future[bool] | None = None
 
@@ -82,8 +82,8 @@
 class Listener(Protocol):
     """Takes notifications from clients of one protocol; it calls `hand_in(HandIn)` and `withdraw(id)`."""
 
-    busy: int  # requests under way
-    closed: Counter  # connections that have ended, by Closed
+    requests_in_progress: int  # requests under way
+    closed_connections: Counter  # connections that have ended, by Closed
 
     async def open(self, listening_socket=None, beside: bool = False) -> str:
         """Listen; returns the address. From here on it serves.
@@ -94,34 +94,34 @@
     def descriptor(self) -> int | None:
         """The descriptor that clients come to, to hand over."""
 
-    def replaced(self) -> None:
+    def yield_to_successor(self) -> None:
         """Another process serves here from now on: take no more, and let go of those there are."""
 
     def share(self, processes: int) -> None:
         """So many processes share the relay's descriptors now."""
 
-    def leave(self) -> None:
+    def start_drain(self) -> None:
         """A stop was asked for: say that no more should come, and take what still does."""
 
-    def empty(self) -> None:
+    def close_idle_clients(self) -> None:
         """It was left long enough: end what stands idle, but stay open and answer what still comes."""
 
     def resume(self) -> None:
         """Serve again, as before it was left or emptied."""
 
-    def retune(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Other settings hold from now on."""
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no more; answers under way go on."""
 
-    def connections(self) -> int: ...
+    def connection_count(self) -> int: ...
 
 
 class Dispatcher(Protocol):
     """Carries pushes to endpoints and tells one Outcome for each."""
 
-    def start(self, endpoint: str, items: list[Item]) -> None: ...
+    def start(self, endpoint: str, items: list[PushMessage]) -> None: ...
 
     def cancel(self, name: str, push: int) -> None: ...
 
@@ -131,18 +131,18 @@
     def close_idle(self, endpoint: str) -> None:
         """Close what stands idle to that endpoint; calls that are out go on."""
 
-    def forget(self) -> None:
+    def drop_removed_endpoints(self) -> None:
         """The list has changed and the decisions know: let go of what is kept for endpoints gone."""
 
     written: int  # messages whose call went out whole
 
-    def retune(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Other settings hold for calls from now on."""
 
     def share(self, processes: int) -> None:
         """So many processes share the relay's descriptors now."""
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """Pushes without an outcome."""
 
     async def close(self) -> None:
@@ -152,16 +152,16 @@
 class Directory(Protocol):
     """Follows where endpoints are."""
 
-    def known(self) -> it.ListUpdate:
+    def initial_list(self) -> it.ListUpdate:
         """What is known before anything is asked."""
 
-    async def fresh(self) -> list[it.ListUpdate]:
+    async def fetch_initial(self) -> list[it.ListUpdate]:
         """What is told at once when asked now, before anything is pushed; nothing if it takes a moment."""
 
     async def run(self, tell: Tell) -> None:
         """Tell list updates until cancelled; what fails is told, and leaves the last list in force."""
 
-    def ask(self) -> None:
+    def refresh(self) -> None:
         """The decisions want it asked now, after what failed."""
 
 
@@ -173,4 +173,4 @@
 
     async def run(self) -> None: ...
 
-    def waiting(self) -> int: ...
+    def pending_count(self) -> int: ...
--- a/ryestack/wire/batch.py
+++ b/ryestack/wire/batch.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from ..ports import Item
+from ..ports import PushMessage
 from . import forms
 
 
@@ -12,16 +12,16 @@
     """items: those that go, or are not known not to; void: their clients do not know that they are taken on;
     held: they may not go yet."""
 
-    items: list[Item]
-    void: list[Item] = field(default_factory=list)
-    held: list[Item] = field(default_factory=list)
+    items: list[PushMessage]
+    void: list[PushMessage] = field(default_factory=list)
+    held: list[PushMessage] = field(default_factory=list)
 
     async def wait_until_clear(self) -> None:
         """Until it is known of each whether its client has heard, and whether it may go.
 
         Shielded: a call that ends while it waits must not take away what the next one waits for.
         """
-        heard = [i.heard is None or await asyncio.shield(i.heard) for i in self.items]
+        heard = [i.acknowledged is None or await asyncio.shield(i.acknowledged) for i in self.items]
         self.void = [item for item, told in zip(self.items, heard, strict=True) if not told]
         self.items = [item for item in self.items if item not in self.void]
         clear = [i.cleared is None or await asyncio.shield(i.cleared) for i in self.items]
@@ -29,7 +29,7 @@
         self.items = [item for item in self.items if item not in self.held]
 
 
-def request_of(items: list[Item]) -> tuple[str, bytes, dict[str, str]]:
+def request_of(items: list[PushMessage]) -> tuple[str, bytes, dict[str, str]]:
     """Path, body and headers of the request for one message or several."""
     if len(items) > 1:
         return "/receive-many", forms.many([(i.id, i.key, i.body) for i in items]), {}
--- a/ryestack/wire/calls.py
+++ b/ryestack/wire/calls.py
@@ -9,7 +9,7 @@
 from .. import interface as it
 from ..interface import Result
 from ..observe.log import fault
-from ..ports import Item
+from ..ports import PushMessage
 from . import forms
 from .answers import Answer, bounded, milliseconds, of_many, of_one
 from .batch import Batch, request_of
@@ -22,16 +22,24 @@
 REST_OF_200, REST = 0.05, 0.25
 
 
-class Calls:
+class CallDispatcher:
     """Starts and cancels calls; tell(events) puts their outcomes into the owner's queue together."""
 
     def __init__(self, settings: it.Settings, members, clock, tell, most: int):
-        self.members, self.clock, self.tell, self.whole, self.most = members, clock, tell, most, most
+        self.members, self.clock, self.tell, self.whole, self.max_connections = (
+            members,
+            clock,
+            tell,
+            most,
+            most,
+        )
         self.running: dict[tuple[str, int], asyncio.Task] = {}
         self.written = 0  # messages whose call went out whole
-        self.kept: dict[EndpointConnection, None] = {}  # all connections to endpoints, the oldest first
+        self.open_connections: dict[
+            EndpointConnection, None
+        ] = {}  # all connections to endpoints, the oldest first
         self.begun: dict[asyncio.Task, Progress] = {}  # of all calls, begun or not yet
-        self.retune(settings)
+        self.apply_settings(settings)
         idle = settings.connection_idle * IDLE_PART
         connector = aiohttp.TCPConnector(
             limit=0,
@@ -39,7 +47,7 @@
             **({"keepalive_timeout": idle} if idle else {"force_close": True}),
         )
         connector._factory = partial(
-            EndpointConnection, asyncio.get_running_loop(), self.kept
+            EndpointConnection, asyncio.get_running_loop(), self.open_connections
         )  # the library has no hook
         self.session = aiohttp.ClientSession(
             connector=connector,
@@ -50,17 +58,17 @@
             auto_decompress=False,
         )
 
-    def retune(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         self.batch = {k.name: k.batch for k in settings.kinds}
         self.limits = aiohttp.ClientTimeout(total=None, sock_connect=settings.connect_timeout or None)
 
-    def start(self, endpoint: str, items: list[Item]) -> None:
+    def start(self, endpoint: str, items: list[PushMessage]) -> None:
         """Send the messages of one turn, as many in a call as that kind of endpoint takes."""
         most = self.batch.get(self.members.kind(endpoint), 1)
         for at in range(0, len(items), most):
             self.start_one(endpoint, items[at : at + most])
 
-    def start_one(self, endpoint: str, items: list[Item]) -> None:
+    def start_one(self, endpoint: str, items: list[PushMessage]) -> None:
         """A call is over when the time of the first of its messages is up: whether an answer that comes later
         stands for the others is not ours to say, and the connection must not bring it."""
         progress = Progress(endpoint)
@@ -72,7 +80,7 @@
         for item in items:
             self.running[item.id, item.push] = task
 
-    def over(self, items: list[Item], task: asyncio.Task) -> None:
+    def over(self, items: list[PushMessage], task: asyncio.Task) -> None:
         """A task that is cancelled before its first step never runs at all: its pushes were not sent."""
         progress = self.begun.pop(task)
         left = [i for i in items if self.running.get((i.id, i.push)) is task]
@@ -85,9 +93,9 @@
         if (name, push) in self.running:
             self.running[name, push].cancel()
 
-    def forget(self) -> None:
+    def drop_removed_endpoints(self) -> None:
         """What stays open to endpoints that are gone ends here; calls that are out go on."""
-        self.end_idle(self.members.leave())
+        self.end_idle(self.members.drop_removed())
 
     def cancel_unsent(self, endpoint: str) -> None:
         for progress in self.begun.values():
@@ -98,21 +106,21 @@
         self.end_idle({endpoint})
 
     def end_idle(self, endpoints: set[str]) -> None:
-        for reply in [r for r in self.kept if r.call is None and r.endpoint in endpoints]:
+        for reply in [r for r in self.open_connections if r.call is None and r.endpoint in endpoints]:
             reply.spoilt()
 
     def make_room(self) -> None:
-        idle = [r for r in self.kept if r.call is None]
-        if len(idle) + len(set(self.running.values())) >= self.most and idle:
+        idle = [r for r in self.open_connections if r.call is None]
+        if len(idle) + len(set(self.running.values())) >= self.max_connections and idle:
             min(idle, key=lambda r: r.idle_since).spoilt()
 
     def share(self, processes: int) -> None:
-        self.most = max(1, self.whole // processes)
-        idle = sorted((r for r in self.kept if r.call is None), key=lambda r: r.idle_since)
-        for reply in idle[: max(0, len(self.kept) - self.most)]:
+        self.max_connections = max(1, self.whole // processes)
+        idle = sorted((r for r in self.open_connections if r.call is None), key=lambda r: r.idle_since)
+        for reply in idle[: max(0, len(self.open_connections) - self.max_connections)]:
             reply.spoilt()
 
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len(self.running)
 
     async def close(self) -> None:
@@ -122,7 +130,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await self.session.close()
 
-    async def run(self, progress: Progress, items: list[Item], timeout: float) -> None:
+    async def run(self, progress: Progress, items: list[PushMessage], timeout: float) -> None:
         began, batch, answers = self.clock(), Batch(items), {}
         lapse = self.prepare(progress, batch, timeout)
         broke = Result.BROKEN
@@ -203,7 +211,7 @@
         if limit and not limit.expired():
             limit.reschedule(min(limit.when(), asyncio.get_running_loop().time() + rest))
 
-    async def post(self, endpoint: str, items: list[Item], until: float) -> dict[str, Answer]:
+    async def post(self, endpoint: str, items: list[PushMessage], until: float) -> dict[str, Answer]:
         """Id to answer, once all of it has come."""
         address = self.members.address(endpoint)
         if address is None:  # it went off the list a moment ago
--- a/ryestack/wire/client_connection.py
+++ b/ryestack/wire/client_connection.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from ..observe.log import detailed, event
-from ..ports import Closed
+from ..ports import CloseReason
 from .sockets import unread, waited
 
 IDLE = 2.2  # seconds: a connection with no open request may end after 2, and a bad client must hear within 3
@@ -65,18 +65,18 @@
     def __init__(self, manager, *, loop, **more):
         super().__init__(manager, loop=loop, **more)
         self.since = self.heard_at = self.came_at = loop.time()  # came_at: when its last bytes got here
-        self.spoilt, self.ending, self.whole = False, None, None  # whole: the transport itself
-        self.why = Closed.CLIENT
+        self.spoilt, self.ending, self.raw_transport = False, None, None  # whole: the transport itself
+        self.why = CloseReason.CLIENT
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         super().connection_made(transport)
-        self.whole, self.transport = transport, HalfClosing(transport, self.end)
+        self.raw_transport, self.transport = transport, HalfClosing(transport, self.end)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if self.ending:
             self.ending.timer.cancel()
         if self._manager is not None:
-            self._manager.closed[self.why] += 1
+            self._manager.closed_connections[self.why] += 1
         if detailed():
             event("client.closed", why=self.why.value, requests=self._request_count)
         super().connection_lost(exc)
@@ -85,9 +85,9 @@
         """Whether requests that were read wait behind the open one."""
         return any(hasattr(message, "headers") for message, _ in self._messages)
 
-    def end_for(self, why: Closed) -> None:
+    def end_with_reason(self, why: CloseReason) -> None:
         """The one way in which we end it."""
-        if self.why is Closed.CLIENT:
+        if self.why is CloseReason.CLIENT:
             self.why = why
         self.force_close()
 
@@ -97,13 +97,13 @@
 
     def end(self) -> None:
         """Nothing that is read from here on is taken on."""
-        if self.why is Closed.CLIENT:
-            self.why = Closed.ANSWERED
-        if self.is_owed_an_answer() and not self.whole.is_closing():
-            self._manager.unanswered()
+        if self.why is CloseReason.CLIENT:
+            self.why = CloseReason.AFTER_LAST_ANSWER
+        if self.is_owed_an_answer() and not self.raw_transport.is_closing():
+            self._manager.on_unanswered_close()
         self._force_close = True
-        if self.ending is None and not self.whole.is_closing():
-            self.ending = Ending(self.whole, self._loop)
+        if self.ending is None and not self.raw_transport.is_closing():
+            self.ending = Ending(self.raw_transport, self._loop)
             self._manager.ending[self] = None
 
     def data_received(self, data: bytes) -> None:
@@ -113,11 +113,11 @@
         if self.spoilt:
             return
         self.heard_at = self._loop.time()
-        self.came_at = self.heard_at - waited(self.whole)
+        self.came_at = self.heard_at - waited(self.raw_transport)
         if self.given_up(data):
             event("front.stale", waited=round(self.heard_at - self.came_at, 3))
-            self.whole.write(REFUSED)
-            self.end_for(Closed.STALE)
+            self.raw_transport.write(REFUSED)
+            self.end_with_reason(CloseReason.STALE_REQUEST)
             return
         super().data_received(data)
         if self._messages and not hasattr(self._messages[-1][0], "headers"):  # the parser's own error
@@ -131,12 +131,12 @@
 
     def _process_keepalive(self) -> None:
         """The library's end of an idle connection: not over a request that has come and is not read yet."""
-        if self.ending is None and self.idle() and self.transport is not None and unread(self.whole):
+        if self.ending is None and self.idle() and self.transport is not None and unread(self.raw_transport):
             self._keepalive_handle = self._loop.call_soon(self._process_keepalive)
         else:
             super()._process_keepalive()
-            if self._force_close and self.why is Closed.ANSWERED:
-                self.why = Closed.IDLE
+            if self._force_close and self.why is CloseReason.AFTER_LAST_ANSWER:
+                self.why = CloseReason.IDLE_TIMEOUT
 
     def idle(self) -> bool:
         """Whether it waits for a request of which nothing whole has come."""
@@ -150,8 +150,8 @@
         """End it unless it may have a request: one on its way is answered, and ends it then."""
         if self.transport is None or not self.idle() or self._loop.time() < self.heard_at + since:
             return
-        if not unread(self.whole):
-            self.end_for(Closed.LEAVING)
+        if not unread(self.raw_transport):
+            self.end_with_reason(CloseReason.SHUTDOWN_OR_DRAIN)
 
     def until(self, now: float) -> float:
         """When the open request must have come whole."""
@@ -164,8 +164,8 @@
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
         self.ending: dict[ClientConnection, None] = {}  # half-closed, the oldest first
-        self.closed: Counter[Closed] = Counter()
-        self.unanswered = lambda: None  # told where one is ended over a request that was read
+        self.closed_connections: Counter[CloseReason] = Counter()
+        self.on_unanswered_close = lambda: None  # told where one is ended over a request that was read
 
     def __call__(self) -> ClientConnection:
         return ClientConnection(self, loop=self._loop, **self._kwargs)
@@ -178,13 +178,13 @@
         """Whether as many are open as may be; those that linger count apart, up to their own bound."""
         lingering = len(self._connections) - most - MOST_ENDING
         for connection in list(self.ending)[: max(0, lingering + 1)]:
-            connection.whole.abort()
+            connection.raw_transport.abort()
         return len(self._connections) - len(self.ending) >= most
 
     def longest_idle(self) -> ClientConnection | None:
         """The connection that makes room for another: none whose request has come and is not read yet."""
         idle = sorted(filter(ClientConnection.idle, self._connections), key=ClientConnection.ends)
-        return next((c for c in idle if not unread(c.whole)), None)
+        return next((c for c in idle if not unread(c.raw_transport)), None)
 
 
 class Full(asyncio.Protocol):
--- a/ryestack/wire/endpoint_connection.py
+++ b/ryestack/wire/endpoint_connection.py
@@ -86,14 +86,14 @@
         super().__init__(loop)
         self.kept, self.call, self.endpoint, self.idle_since = kept, None, "", loop.time()
         self.head, self.passed, self.left, self.said = b"", 0, 0, None
-        self.whole, self.given_up = (
+        self.raw_transport, self.given_up = (
             None,
             None,
         )  # the transport itself; the time-out of a call that is given up
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self.whole, self.transport = transport, Gate(transport, self.begin, self.end)
+        self.raw_transport, self.transport = transport, Gate(transport, self.begin, self.end)
         self.kept[self] = None
 
     def connection_lost(self, exc) -> None:
@@ -105,17 +105,21 @@
     def end(self) -> None:
         """The library closes it. The end of our sending gives a call up; its answer may be on its way, and
         the wait in its head binds all the same: that is still read."""
-        if self.whole.get_write_buffer_size() or (self.call is not None and unconfirmed(self.whole)):
-            reset(self.whole)  # what is given up must not go out later, from our buffer or the system's
+        if self.raw_transport.get_write_buffer_size() or (
+            self.call is not None and unconfirmed(self.raw_transport)
+        ):
+            reset(
+                self.raw_transport
+            )  # what is given up must not go out later, from our buffer or the system's
         elif self.call is None or not self.call.begun or self.head is None:
-            self.whole.close()
-        elif self.given_up is None and not self.whole.is_closing():
-            self.given_up = self._loop.call_later(LAST_WORD, self.whole.abort)
+            self.raw_transport.close()
+        elif self.given_up is None and not self.raw_transport.is_closing():
+            self.given_up = self._loop.call_later(LAST_WORD, self.raw_transport.abort)
             try:
-                self.whole.write_eof()
-                self.whole.resume_reading()
+                self.raw_transport.write_eof()
+                self.raw_transport.resume_reading()
             except (OSError, RuntimeError):  # it is gone already
-                self.whole.abort()
+                self.raw_transport.abort()
 
     def is_connected(self) -> bool:
         """Asked before it is used again: bytes or an end that wait unread are no answer to the next call."""
@@ -152,7 +156,7 @@
     def take_back(self) -> bool:
         if self.transport is None or not self.transport.get_write_buffer_size():
             return False
-        reset(self.whole)
+        reset(self.raw_transport)
         return True
 
     def start_timeout(self) -> None:
@@ -172,7 +176,7 @@
         self.head, self.call.words = self.head + data, True
         while found := FIRST_LINE.match(self.head):
             status = int(found[1])
-            if status == 200 and self.whole.get_write_buffer_size():
+            if status == 200 and self.raw_transport.get_write_buffer_size():
                 return self.spoilt()  # an endpoint begins a call with its last byte: this is no answer to it
             if status >= 200 and not self.call.status and not self.given_up:
                 self.call.status = status
@@ -195,7 +199,7 @@
         headers, self.left = self.said.headers, -1
         self.call.told(headers)
         if self.given_up:
-            return self.whole.abort()
+            return self.raw_transport.abort()
         if status in BODILESS:
             self.left = 0
         elif "Transfer-Encoding" not in headers and "Content-Length" in headers:
@@ -220,10 +224,12 @@
             super().data_received(data)
         if self.left == 0 or (self.left < 0 and self._payload is not None and self._payload.is_eof()):
             self.call, self.idle_since = None, self._loop.time()
-        if more or (self.call is None and self.whole.get_write_buffer_size()):
+        if more or (self.call is None and self.raw_transport.get_write_buffer_size()):
             self.spoilt()
 
     def spoilt(self) -> None:
         """Close at once; what was read whole before stays as it is."""
         self.force_close()
-        reset(self.whole) if self.whole.get_write_buffer_size() else self.whole.close()
+        reset(
+            self.raw_transport
+        ) if self.raw_transport.get_write_buffer_size() else self.raw_transport.close()
--- a/ryestack/wire/hand_in.py
+++ b/ryestack/wire/hand_in.py
@@ -8,7 +8,7 @@
     """A destination that this relay does not serve, though another may."""
 
 
-class HandInReader:
+class SubmissionReader:
     """terms: of(topic type, now) -> its terms and number of pushes, or None; customers: names, () for any."""
 
     def __init__(self, terms, members, clock):
--- a/ryestack/wire/members.py
+++ b/ryestack/wire/members.py
@@ -12,13 +12,18 @@
 from .. import interface as it
 from ..membership.following import Following
 from ..observe.log import event
-from .platform import Platform
+from .platform import PlatformClient
 
 LISTED = {"up": it.Listed.READY, "draining": it.Listed.DRAINING, "removed": it.Listed.GONE}
 BARE = 60.0  # a destination without endpoints is one we know for so long
 PAUSE = 0.1  # between calls at least, if answers or failures come at once; a watch goes on within 200 ms
 FIRST = 0.3  # seconds for the first word at a start: an agent beside us answers at once, or is down
-UNREADABLE = (KeyError, TypeError, ValueError, ArithmeticError)  # what a value of the wrong kind raises
+INVALID_VALUE_ERRORS = (
+    KeyError,
+    TypeError,
+    ValueError,
+    ArithmeticError,
+)  # what a value of the wrong kind raises
 
 
 class BadList(Exception):
@@ -36,7 +41,7 @@
     rows, endpoints = {}, []
     try:
         index, whole, entries = int(told["index"]), told["snapshot"] is True, list(told["endpoints"])
-    except UNREADABLE as problem:
+    except INVALID_VALUE_ERRORS as problem:
         raise BadList(f"{type(problem).__name__}: {problem}") from None
     for entry in entries:
         try:
@@ -45,7 +50,7 @@
                 continue  # never here, or gone before
             endpoints.append(read_row(row))
             rows[row["name"]] = row
-        except UNREADABLE as problem:
+        except INVALID_VALUE_ERRORS as problem:
             event("list.row_bad", version=index, why=repr(problem))
     return index, it.ListUpdate(tuple(endpoints), whole=whole), rows
 
@@ -75,7 +80,7 @@
         self.endpoints: Counter[int] = Counter()  # destination -> its rows, removed ones too; never 0
         self.bare: dict[int, float] = {}  # destinations that lost an endpoint, since when; oldest first
 
-    def learn(self, told: dict) -> it.ListUpdate:
+    def apply_list(self, told: dict) -> it.ListUpdate:
         self.index, update, rows = read_list(told, self.rows)
         for name in set(self.rows) - set(rows) if update.whole else ():
             rows[name] = {**self.rows[name], "status": "removed"}
@@ -101,7 +106,7 @@
             del self.endpoints[destination]
         return destination
 
-    def leave(self) -> set[str]:
+    def drop_removed(self) -> set[str]:
         """Drop the rows that stand as removed, once the decisions know of it; returns their names."""
         gone, self.removed = self.removed, set()
         for name in gone:
@@ -116,7 +121,7 @@
             del self.bare[next(iter(self.bare))]
         return destination in self.bare or destination in self.endpoints
 
-    def listed(self) -> list[str]:
+    def listed_names(self) -> list[str]:
         return [name for name, row in self.rows.items() if row["status"] != "removed"]
 
     def address(self, endpoint: str) -> str | None:
@@ -126,46 +131,46 @@
         return self.rows[endpoint]["type"] if endpoint in self.rows else None
 
 
-class Catalog:
+class RegistryDirectory:
     """The platform's registry as a Directory: its list, and the watch that follows it."""
 
-    def __init__(self, platform: Platform, known: dict):
+    def __init__(self, platform: PlatformClient, known: dict):
         self.platform, self.members = platform, Members()
-        self.first = self.members.learn(known)
+        self.first = self.members.apply_list(known)
 
-    def known(self) -> it.ListUpdate:
+    def initial_list(self) -> it.ListUpdate:
         return self.first
 
-    async def fresh(self) -> list[it.ListUpdate]:
+    async def fetch_initial(self) -> list[it.ListUpdate]:
         """What the registry has now, if it says so at once: it counts from the first moment of a process."""
         try:
             query = {"from": str(self.members.index), "hold_ms": "0"}
             status, body = await self.platform.ask("GET", "/catalog/members", FIRST, params=query)
-            return [self.members.learn(json.loads(body))] if status == 200 else []
+            return [self.members.apply_list(json.loads(body))] if status == 200 else []
         except UNHEARD:
             return []
 
     async def run(self, tell) -> None:
         await watch(self.platform, self.members, lambda update: tell([update]))
 
-    def ask(self) -> None:
+    def refresh(self) -> None:
         self.platform.asked.set()
 
 
-class Fixed(Catalog):
+class FixedDirectory(RegistryDirectory):
     """The list that the configuration knew, for good: nothing is asked."""
 
-    async def fresh(self) -> list[it.ListUpdate]:
+    async def fetch_initial(self) -> list[it.ListUpdate]:
         return []
 
-    def ask(self) -> None:
+    def refresh(self) -> None:
         pass
 
     async def run(self, tell) -> None:
         await asyncio.Event().wait()
 
 
-async def watch(platform: Platform, members: Members, tell) -> None:
+async def watch(platform: PlatformClient, members: Members, tell) -> None:
     """Follow the list for as long as the process lives; a silent registry leaves the old one in force.
 
     An asking that fails is told, with the time of the registry's last word; when to ask again is decided
@@ -185,7 +190,7 @@
             )
             if status != 200:
                 raise BadList(f"status {status}")
-            update, address = members.learn(json.loads(body)), asked
+            update, address = members.apply_list(json.loads(body)), asked
             if update.endpoints or update.whole or not well:
                 told = {"entries": len(update.endpoints), "whole": update.whole}
                 event("list.changed", version=members.index, **told)
--- a/ryestack/wire/notice_queue.py
+++ b/ryestack/wire/notice_queue.py
@@ -19,7 +19,7 @@
         self.queue.append((name, json.dumps({"id": name, **notice}, separators=(",", ":"))))
         self.more.set()
 
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         return len(self.queue)
 
     def arrived(self, some: list[tuple[str, str]]) -> None:
--- a/ryestack/wire/notices.py
+++ b/ryestack/wire/notices.py
@@ -5,17 +5,17 @@
 import aiohttp
 
 from .notice_queue import NoticeQueue
-from .platform import Platform
+from .platform import PlatformClient
 
 LINES = 200  # in one post
 PAUSE = 0.1  # seconds before the next try; the platform answers at once
 LIMIT = 2.0  # seconds for a post
 
 
-class Notices(NoticeQueue):
+class PlatformNotices(NoticeQueue):
     """Sends what is owed in order; done(ids) tells the owner what the platform has."""
 
-    def __init__(self, platform: Platform, done):
+    def __init__(self, platform: PlatformClient, done):
         super().__init__(done)
         self.platform = platform
 
--- a/ryestack/wire/platform.py
+++ b/ryestack/wire/platform.py
@@ -7,7 +7,7 @@
 MOST = 4 * 1024 * 1024  # bytes of an answer: a list of thousands of endpoints
 
 
-class Platform:
+class PlatformClient:
     """Asks at the address in force; a move breaks off what is open at the old one, and it is asked anew."""
 
     def __init__(self, address: str):
--- a/ryestack/wire/server.py
+++ b/ryestack/wire/server.py
@@ -12,29 +12,29 @@
 
 from .. import interface as it
 from ..observe.log import event
-from ..ports import Closed, HandIn, Verdict
+from ..ports import CloseReason, Submission, Verdict
 from . import forms
 from .acceptor import Acceptor
 from .binding import bound_socket
 from .client_connection import IDLE, QUIET, ClientConnection, ConnectionServer, Full
-from .hand_in import HandInReader, NotServed
+from .hand_in import NotServed, SubmissionReader
 
 EBB = 0.1  # seconds between looks at whom to let go
 UNREAD = 2 * 1024 * 1024  # bytes of bodies not yet whole, over all connections
 BUFFER = 16 * 1024  # bytes that the library reads ahead on a connection
 ANSWERED = 0.35  # seconds in which a request has to be taken on: its client goes after 0.4
-TAKEN, REFUSED, FAILED, MALFORMED, TOO_SLOW, TOO_LARGE = 202, 503, 500, 400, 408, 413
+ACCEPTED, UNAVAILABLE, FAILED, BAD_REQUEST, TOO_SLOW, TOO_LARGE = 202, 503, 500, 400, 408, 413
 
 
 STATUS = {
-    Verdict.TAKEN: TAKEN,
-    Verdict.THROTTLED: REFUSED,
+    Verdict.ACCEPTED: ACCEPTED,
+    Verdict.THROTTLED: UNAVAILABLE,
     Verdict.EXPIRED: FAILED,
-    Verdict.UNREADABLE: MALFORMED,
+    Verdict.REJECTED: BAD_REQUEST,
 }
 
 
-class Clients:
+class ClientListener:
     """Serves clients; hand_in and withdraw put into the queue of the task that owns the decisions."""
 
     protocol = "http"
@@ -42,10 +42,17 @@
     def __init__(
         self, settings: it.Settings, terms, members, clock, hand_in, withdraw, most: int, at=("", 0)
     ):
-        self.reader = HandInReader(terms, members, clock)
-        self.retune(settings)
-        self.members, self.clock, self.hand_in, self.withdraw = members, clock, hand_in, withdraw
-        self.whole, self.most, self.ready, self.last_answers, self.busy, self.unread = (
+        self.reader = SubmissionReader(terms, members, clock)
+        self.apply_settings(settings)
+        self.members, self.clock, self.submit, self.withdraw = members, clock, hand_in, withdraw
+        (
+            self.whole,
+            self.max_connections,
+            self.ready,
+            self.last_answers,
+            self.requests_in_progress,
+            self.unread,
+        ) = (
             most,
             most,
             False,
@@ -71,43 +78,43 @@
         host, port = self.listener.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
-    def retune(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         self.reader.customers = {c.name for c in settings.customers}
 
-    def leave(self) -> None:
+    def start_drain(self) -> None:
         self.ready, self.last_answers = False, True
 
-    def empty(self) -> None:
+    def close_idle_clients(self) -> None:
         self.last_answers = True
         if self.ebbing:
             self.ebbing.cancel()
         for connection in list(self.server.connections):
             connection.end_if_quiet()
-        self.ebbing = asyncio.get_running_loop().call_later(EBB, self.empty)
+        self.ebbing = asyncio.get_running_loop().call_later(EBB, self.close_idle_clients)
 
-    def replaced(self) -> None:
+    def yield_to_successor(self) -> None:
         self.listener.close(serve_queue=False)
         self.ready = True  # of the relay, which the other process is now, drained or not
-        self.empty()
+        self.close_idle_clients()
 
     def share(self, processes: int) -> None:
-        self.most = max(1, self.whole // processes)
+        self.max_connections = max(1, self.whole // processes)
         idle = sorted(filter(ClientConnection.idle, self.server.connections), key=ClientConnection.ends)
-        for connection in idle[: max(0, len(self.server.connections) - self.most)]:
+        for connection in idle[: max(0, len(self.server.connections) - self.max_connections)]:
             connection.end_if_quiet()
 
     def resume(self) -> None:
         self.ready, self.last_answers = True, False
         self.ebbing.cancel()
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         self.stop_listening()
 
     @property
-    def closed(self) -> Counter[Closed]:
-        return self.server.closed
+    def closed_connections(self) -> Counter[CloseReason]:
+        return self.server.closed_connections
 
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         return len(self.server.connections)
 
     def descriptor(self) -> int | None:
@@ -124,12 +131,12 @@
 
     def accept(self) -> asyncio.Protocol:
         """At the bound the oldest idle connection makes room: silent ones must not keep others out."""
-        if self.server.full(self.most):
+        if self.server.full(self.max_connections):
             oldest = self.server.longest_idle()
             if oldest is None:
-                event("front.full", bound=self.most)
+                event("front.full", bound=self.max_connections)
                 return Full()
-            oldest.end_for(Closed.ROOM)
+            oldest.end_with_reason(CloseReason.EVICTED)
         return self.server()
 
     def stop_listening(self) -> None:
@@ -138,10 +145,10 @@
         The library's own pre_shutdown leaves idle ones open and unread: a request on one gets no answer.
         """
         self.listener.close()
-        self.empty()
+        self.close_idle_clients()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.busy += 1
+        self.requests_in_progress += 1
         try:
             route = self.ROUTES.get(request.raw_path)
             if route is None:
@@ -152,14 +159,14 @@
             answer = await serve(self, request)
             return answer if answer.prepared else self.finished(request, answer)
         finally:
-            self.busy -= 1
+            self.requests_in_progress -= 1
 
     async def health(self, _: web.BaseRequest) -> web.StreamResponse:
         return self.answer(200, "serving") if self.ready else self.answer(503, "not serving")
 
     async def api(self, request: web.BaseRequest) -> web.StreamResponse:
         if "Content-Length" in request.headers and "Transfer-Encoding" in request.headers:
-            return self.answer(MALFORMED, "a length and an encoding", last=True)  # one may hide a request
+            return self.answer(BAD_REQUEST, "a length and an encoding", last=True)  # one may hide a request
         if (request.content_length or 0) > forms.MOST_BODY:
             return self.answer(TOO_LARGE, f"{forms.MOST_BODY} bytes at most", last=True)
         body = bytearray()
@@ -173,35 +180,35 @@
                     if len(body) > forms.MOST_BODY:
                         return self.answer(TOO_LARGE, f"{forms.MOST_BODY} bytes at most", last=True)
                     if self.unread > UNREAD:
-                        return self.answer(REFUSED, "too much at once", last=True)
+                        return self.answer(UNAVAILABLE, "too much at once", last=True)
             ntf, key = self.reader.read(request.headers, request.protocol.came_at)
         except forms.BadForm as bad:
-            return self.answer(MALFORMED, str(bad))
+            return self.answer(BAD_REQUEST, str(bad))
         except NotServed as why:
-            return self.answer(REFUSED, str(why))
+            return self.answer(UNAVAILABLE, str(why))
         except TimeoutError:
             return self.answer(TOO_SLOW, "the body did not come", last=True)
         except (OSError, aiohttp.ClientError, web.RequestPayloadError):  # its client went, or sent no body
-            return self.answer(MALFORMED, "the body broke off", last=True)
+            return self.answer(BAD_REQUEST, "the body broke off", last=True)
         finally:
             self.unread -= len(body)
         loop = asyncio.get_running_loop()
         answer_by = request.protocol.came_at + ANSWERED
-        message = HandIn(ntf, key, bytes(body), loop.create_future(), loop.create_future(), answer_by)
+        message = Submission(ntf, key, bytes(body), loop.create_future(), loop.create_future(), answer_by)
         told = False
-        verdict = Verdict.TAKEN  # unless the owner says otherwise
-        self.hand_in(message)
+        verdict = Verdict.ACCEPTED  # unless the owner says otherwise
+        self.submit(message)
         try:
             verdict, away = await message.verdict
-            if verdict is not Verdict.TAKEN:
+            if verdict is not Verdict.ACCEPTED:
                 more = {"Retry-After": f"{away:.3f}"} if away > 0.0 else {}
                 return self.answer(STATUS[verdict], "", **more)
-            answer = self.answer(TAKEN, "")
+            answer = self.answer(ACCEPTED, "")
             told = await self.tell(request, answer)
             return answer
         finally:  # pushes wait for a client that was there to hear it
-            message.heard.set_result(told)
-            if verdict is Verdict.TAKEN and not told:
+            message.acknowledged.set_result(told)
+            if verdict is Verdict.ACCEPTED and not told:
                 self.withdraw(ntf.id)
 
     async def tell(self, request: web.BaseRequest, answer: web.Response) -> bool:
--- a/ryestack/wire/staff.py
+++ b/ryestack/wire/staff.py
@@ -19,7 +19,7 @@
 LARGEST = 4096  # bytes of it
 
 
-class Staff:
+class StaffServer:
     """calls: (method, path) -> a coroutine function that returns status, content type and text."""
 
     def __init__(self, calls: dict, at: tuple[str, int]):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 
 from ryestack import interface as it
 from ryestack.brain import Brain
-from ryestack.ports import Item
-from ryestack.wire.calls import Calls
+from ryestack.ports import PushMessage
+from ryestack.wire.calls import CallDispatcher
 from ryestack.wire.members import Members
 
 RULES = it.Rules(cold_share=0.2, cold_time=10.0, overload_factor=2.0, fall_time=2.0, key_rest=1.0)
@@ -55,7 +55,7 @@
 
 def members(**row):
     made = Members()
-    made.learn(listed(**row))
+    made.apply_list(listed(**row))
     return made
 
 
@@ -100,8 +100,9 @@
 
     server, here = await stand_in(note)
     at = members(address=address or here, kind=kind)
-    calls = Calls(settings(connection_idle=5.0), at, asyncio.get_running_loop().time, told.put_nowait, 50)
-    calls.start("a", [Item(name, 0, timeout, f"k{name}", b"body\r\n", None) for name in names])
+    clock = asyncio.get_running_loop().time
+    calls = CallDispatcher(settings(connection_idle=5.0), at, clock, told.put_nowait, 50)
+    calls.start("a", [PushMessage(name, 0, timeout, f"k{name}", b"body\r\n", None) for name in names])
     outcomes = []
     while len(outcomes) < len(names):
         outcomes += [o for o in await asyncio.wait_for(told.get(), 5.0) if isinstance(o, it.Outcome)]
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,8 +5,8 @@
 import unittest
 
 from ryestack.interface import Result
-from ryestack.ports import Item
-from ryestack.wire.calls import Calls
+from ryestack.ports import PushMessage
+from ryestack.wire.calls import CallDispatcher
 
 from .helpers import called, http, listed, members, settings, stand_in
 
@@ -45,17 +45,17 @@
             sock.setblocking(False)
             sock.connect_ex(late.getsockname())
         at = members(address=f"127.0.0.1:{late.getsockname()[1]}")
-        calls = Calls(settings(), at, loop.time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 1, 9.0, "k", b"x", None, begin=0.1)])
+        calls = CallDispatcher(settings(), at, loop.time, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, begin=0.1)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
         server, address = await stand_in(lambda *_: http(200))
         at.rows["a"]["address"] = address
         calls.not_begun = lambda *_: None  # the loop was late: the connection is first
-        calls.start("a", [Item("n", 2, 9.0, "k", b"x", None, begin=-0.1)])
+        calls.start("a", [PushMessage("n", 2, 9.0, "k", b"x", None, begin=-0.1)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
-        calls.start("a", [Item("n", 3, 9.0, "k", b"x", None, begin=5.0)])
+        calls.start("a", [PushMessage("n", 3, 9.0, "k", b"x", None, begin=5.0)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.DELIVERED, 1))
         await calls.close()
@@ -71,8 +71,8 @@
             sock.setblocking(False)
             sock.connect_ex(late.getsockname())
         at = members(address=f"127.0.0.1:{late.getsockname()[1]}")
-        calls = Calls(settings(), at, loop.time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 0, 9.0, "k", b"x", None)])
+        calls = CallDispatcher(settings(), at, loop.time, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 0, 9.0, "k", b"x", None)])
         await asyncio.sleep(0.05)
         calls.cancel_unsent("b")
         await asyncio.sleep(0.05)
@@ -81,13 +81,13 @@
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
         calls.batch["shared"] = 2  # one whose time is up while its call connects has its end: it must not go
-        calls.start("a", [Item("k", 0, 0.1, "k", b"x", None), Item("l", 0, 9.0, "k", b"x", None)])
+        calls.start("a", [PushMessage(n, 0, t, "k", b"x", None) for n, t in (("k", 0.1), ("l", 9.0))])
         ends = await asyncio.wait_for(told.get(), 1.0)
         found = [(o.id, o.result, calls.written) for o in ends]
         self.assertEqual(found, [(name, Result.NO_CONNECTION, 0) for name in "kl"])
         server, address = await stand_in(lambda *_: b"")  # it takes the call and says nothing
         at.rows["a"]["address"] = address
-        calls.start("a", [Item("m", 0, 0.3, "k", b"x", None)])
+        calls.start("a", [PushMessage("m", 0, 0.3, "k", b"x", None)])
         await asyncio.sleep(0.1)
         calls.cancel_unsent("a")
         [o] = await asyncio.wait_for(told.get(), 1.0)
@@ -99,8 +99,8 @@
     async def test_a_call_that_is_over_before_its_last_beginning_is_left_alone(self):
         loop, told, faults = asyncio.get_running_loop(), asyncio.Queue(), []
         loop.set_exception_handler(lambda _, context: faults.append(context))
-        calls = Calls(settings(), members(address="127.0.0.1:9"), loop.time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 1, 9.0, "k", b"x", None, begin=0.05)])
+        calls = CallDispatcher(settings(), members(address="127.0.0.1:9"), loop.time, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, begin=0.05)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         await asyncio.sleep(0.1)
         self.assertEqual((o.result, faults), (Result.NO_CONNECTION, []))
@@ -115,11 +115,11 @@
     async def test_a_kept_connection_that_breaks_may_have_run_and_is_not_tried_again(self):
         said, told, heads = [http(200), None, http(200)], asyncio.Queue(), []
         server, address = await stand_in(lambda head, _: heads.append(head) or said.pop(0))
-        clock = asyncio.get_running_loop().time
-        calls = Calls(settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 50)
+        clock, at = asyncio.get_running_loop().time, members(address=address)
+        calls = CallDispatcher(settings(connection_idle=5.0), at, clock, told.put_nowait, 50)
         results = []
         for name in "nm":
-            calls.start("a", [Item(name, 0, 1.0, "", b"", None)])
+            calls.start("a", [PushMessage(name, 0, 1.0, "", b"", None)])
             results += [(o.result, o.stale) for o in await told.get()]
         await calls.close()
         server.close()
@@ -162,12 +162,12 @@
                      b"1\r\nx\r\n0\r\n\r\n"):
             told = asyncio.Queue()
             server, address = await stand_in(lambda *_, said=said: said)
-            clock = asyncio.get_running_loop().time
-            calls = Calls(settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 50)
+            clock, at = asyncio.get_running_loop().time, members(address=address)
+            calls = CallDispatcher(settings(connection_idle=5.0), at, clock, told.put_nowait, 50)
             for name in "nm":
-                calls.start("a", [Item(name, 0, 1.0, "", b"", None)])
+                calls.start("a", [PushMessage(name, 0, 1.0, "", b"", None)])
                 await told.get()
-                ports.append([r.transport.get_extra_info("sockname")[1] for r in calls.kept])
+                ports.append([r.transport.get_extra_info("sockname")[1] for r in calls.open_connections])
             await calls.close()
             server.close()
             self.assertEqual((len(ports[-1]), ports[-1]), (1, ports[-2]), said)
@@ -175,15 +175,15 @@
     async def test_a_hung_up_connection_ends_and_others_stay(self):
         told = asyncio.Queue()
         server, address = await stand_in(lambda *_: http(200))
-        clock = asyncio.get_running_loop().time
-        calls = Calls(settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 50)
-        calls.start("a", [Item("n", 0, 1.0, "", b"", None)])
+        clock, at = asyncio.get_running_loop().time, members(address=address)
+        calls = CallDispatcher(settings(connection_idle=5.0), at, clock, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 0, 1.0, "", b"", None)])
         await told.get()
         calls.close_idle("b")
-        self.assertEqual(len(calls.kept), 1)
+        self.assertEqual(len(calls.open_connections), 1)
         calls.close_idle("a")
         await asyncio.sleep(0.05)
-        self.assertEqual(len(calls.kept), 0)
+        self.assertEqual(len(calls.open_connections), 0)
         await calls.close()
         server.close()
 
@@ -196,15 +196,15 @@
         told = asyncio.Queue()
         said = [http(200), http(503)]
         server, address = await stand_in(lambda *_: said.pop())
-        calls = Calls(settings(connection_idle=5.0), members(address=address),
+        calls = CallDispatcher(settings(connection_idle=5.0), members(address=address),
                       asyncio.get_running_loop().time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 0, 1.0, "", b"", None)])
+        calls.start("a", [PushMessage("n", 0, 1.0, "", b"", None)])
         [first] = await told.get()
-        [reply] = calls.kept
+        [reply] = calls.open_connections
         reply.data_received(http(503))
-        calls.start("a", [Item("m", 0, 1.0, "", b"", None)])
+        calls.start("a", [PushMessage("m", 0, 1.0, "", b"", None)])
         [second] = await told.get()
-        self.assertNotIn(reply, calls.kept)
+        self.assertNotIn(reply, calls.open_connections)
         await calls.close()
         server.close()
         self.assertEqual((first.result, second.result), (Result.FULL, Result.DELIVERED))
@@ -212,20 +212,20 @@
     async def test_a_new_endpoint_at_an_old_address_gets_a_connection_of_its_own(self):
         told = asyncio.Queue()
         server, address = await stand_in(lambda *_: http(200))
-        at = members(address=address)
-        calls = Calls(settings(connection_idle=5.0), at, asyncio.get_running_loop().time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 0, 1.0, "", b"", None)])
+        clock, at = asyncio.get_running_loop().time, members(address=address)
+        calls = CallDispatcher(settings(connection_idle=5.0), at, clock, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 0, 1.0, "", b"", None)])
         await told.get()
         other = {**listed(address=address)["endpoints"][0], "name": "b"}
-        at.learn({**listed(index=2), "endpoints": [other]})
-        calls.start("b", [Item("m", 0, 1.0, "", b"", None)])
+        at.apply_list({**listed(index=2), "endpoints": [other]})
+        calls.start("b", [PushMessage("m", 0, 1.0, "", b"", None)])
         await told.get()
-        self.assertEqual([r.endpoint for r in calls.kept], ["a", "b"])
-        calls.forget()  # the whole list was without a
-        calls.start("a", [Item("o", 0, 1.0, "", b"", None)])
+        self.assertEqual([r.endpoint for r in calls.open_connections], ["a", "b"])
+        calls.drop_removed_endpoints()  # the whole list was without a
+        calls.start("a", [PushMessage("o", 0, 1.0, "", b"", None)])
         [late] = await told.get()
-        self.assertEqual(([r.endpoint for r in calls.kept], late.result), (["b"], Result.NOT_SENT))
-        self.assertEqual((list(at.rows), at.has(7)), (["b"], True))
+        self.assertEqual([r.endpoint for r in calls.open_connections], ["b"])
+        self.assertEqual((late.result, list(at.rows), at.has(7)), (Result.NOT_SENT, ["b"], True))
         await calls.close()
         server.close()
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -9,7 +9,7 @@
 from ryestack.ports import Verdict
 from ryestack.wire import client_connection
 from ryestack.wire.client_connection import MOST_ENDING, MOST_THROWN
-from ryestack.wire.server import Clients
+from ryestack.wire.server import ClientListener
 
 from .helpers import members, settings
 from .test_wire import RAW
@@ -24,7 +24,7 @@
     async def asyncSetUp(self):
         self.got, self.gone = [], []
         self.loop = asyncio.get_running_loop()
-        self.clients = Clients(
+        self.clients = ClientListener(
             settings(), Terms(settings()), members(), self.loop.time, self.take, self.gone.append, 50
         )
         await self.clients.listen("127.0.0.1", 0)
@@ -38,8 +38,8 @@
         await self.clients.server.shutdown(0.1)
 
     def take(self, message):
-        self.got.append(message.ntf.id)
-        message.verdict.set_result((Verdict.TAKEN, 0.0))
+        self.got.append(message.notification.id)
+        message.verdict.set_result((Verdict.ACCEPTED, 0.0))
 
     async def connect(self) -> socket.socket:
         """A client's socket, once the server has its connection."""
@@ -110,7 +110,7 @@
             await self.until(lambda: not self.clients.server.connections)
 
     async def test_an_idle_connection_with_a_request_does_not_make_room_for_another(self):
-        self.clients.most = 2
+        self.clients.max_connections = 2
         first, second = await self.connect(), await self.connect()
         first.send(WHOLE)
         third = self.clients.accept()
@@ -121,13 +121,13 @@
     async def test_a_request_with_nonsense_behind_it_is_answered_before_the_end(self):
         for nonsense in (b"\x00\x01 no request\r\n\r\n", b"POST /api HTTP/9\r\n\r\n", b"\r\n" * 3 + b"x\r\n"):
             waiting = []
-            self.clients.hand_in = waiting.append
+            self.clients.submit = waiting.append
             sock = await self.connect()
             sock.send(WHOLE)
             await self.until(lambda w=waiting: w)
             sock.send(nonsense)
             await asyncio.sleep(0.05)
-            waiting[0].verdict.set_result((Verdict.TAKEN, 0.0))
+            waiting[0].verdict.set_result((Verdict.ACCEPTED, 0.0))
             self.assertEqual((await self.rest(sock))[9:12], b"202")
 
     async def test_an_answer_that_says_close_is_read_whole_behind_bytes_we_never_wanted(self):
@@ -144,7 +144,7 @@
             await self.until(lambda: not self.clients.server.connections)
 
     async def test_while_it_leaves_all_that_was_read_is_answered_and_nothing_behind_that_read(self):
-        self.clients.leave()
+        self.clients.start_drain()
         sock = await self.connect()
         [connection] = self.clients.server.connections
         await self.loop.sock_sendall(sock, WHOLE + ANOTHER)
@@ -173,7 +173,8 @@
         silent.close()
 
     async def test_past_the_bound_a_request_hears_503_and_what_rests_after_our_end_holds_nothing(self):
-        self.clients.most, self.clients.hand_in = 1, lambda message: self.got.append(message.ntf.id)
+        self.clients.max_connections = 1
+        self.clients.submit = lambda message: self.got.append(message.notification.id)
         busy = await self.connect()
         busy.send(WHOLE)  # its verdict never comes
         await self.until(lambda: self.got)
@@ -194,7 +195,7 @@
         self.assertEqual(self.got, ["n"])
 
     async def test_those_that_linger_are_cut_off_past_their_bound(self):
-        self.clients.most = 1
+        self.clients.max_connections = 1
         socks = []
         for _ in range(MOST_ENDING + 3):
             socks.append(await self.connect())
@@ -204,8 +205,8 @@
     async def test_once_the_listener_is_shut_each_idle_client_is_ended_cleanly(self):
         socks = [await self.connect() for _ in range(5)]
         await self.loop.sock_sendall(socks[0], WHOLE)
-        self.clients.leave()
-        self.clients.shut()
+        self.clients.start_drain()
+        self.clients.stop_accepting()
         said = [await self.rest(sock) for sock in socks]
         self.assertEqual([part[9:12] for part in said], [b"202", b"", b"", b"", b""])
         self.assertIn(b"Connection: close", said[0])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from ryestack.lab.soak.fault_control import FaultControl, build
-from ryestack.wire.server import TAKEN
+from ryestack.wire.server import ACCEPTED
 
 from .helpers import http, stand_in
 from .test_lifecycle import Program
@@ -51,7 +51,7 @@
         began = time.monotonic()
         for name in ("a", "b", "c"):
             head = {"X-Request-Id": name, "X-Deadline": SPAN}
-            self.assertEqual(await self.ask("POST", "/api", **head), TAKEN)
+            self.assertEqual(await self.ask("POST", "/api", **head), ACCEPTED)
         process.kill()
         await process.wait()
         self.control.step_wall_clock(step)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -16,7 +16,7 @@
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
 from ryestack.store.owed import Owed
-from ryestack.wire.server import TAKEN
+from ryestack.wire.server import ACCEPTED
 
 from .helpers import Folder, config, http, listed, stand_in
 from .test_lifecycle import Program
@@ -96,7 +96,7 @@
             if not len(idle) % 32:
                 await asyncio.sleep(0.02)
         down = False
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "full"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "full"}), ACCEPTED)
         async with asyncio.timeout(8.0):
             while not calls:
                 await asyncio.sleep(0.02)
--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -21,7 +21,7 @@
 from ryestack.lifecycle.terms import GRACE
 from ryestack.store import scope_file
 from ryestack.store.scope_file import SavedScope
-from ryestack.wire.server import REFUSED, TAKEN
+from ryestack.wire.server import ACCEPTED, UNAVAILABLE
 
 from .control_server import ControlServer, until
 from .helpers import config, http, stand_in
@@ -99,12 +99,12 @@
         address = f"127.0.0.1:{other.sockets[0].getsockname()[1]}"
         self.addCleanup(other.close)
         await self.begin()
-        self.assertEqual(await self.hand_in("n"), REFUSED)  # another relay may serve it
+        self.assertEqual(await self.hand_in("n"), UNAVAILABLE)  # another relay may serve it
         await self.applied(self.server.change(change(destination(7, address))))
-        self.assertEqual(await self.hand_in("n"), TAKEN)
+        self.assertEqual(await self.hand_in("n"), ACCEPTED)
         await asyncio.sleep(0.3)
         await self.applied(self.server.change(("relay/n0", "@", None)))
-        self.assertEqual(await self.hand_in("m"), REFUSED)
+        self.assertEqual(await self.hand_in("m"), UNAVAILABLE)
         await asyncio.sleep(SETTLE_SECONDS + 1.5)
         self.assertEqual((await self.figure("known_endpoints"), calls), (1, [b"n"]))
         answered.set()
@@ -114,7 +114,7 @@
                 await asyncio.sleep(0.1)
         self.assertEqual(await self.figure("in_progress"), 0)
         await self.applied(self.server.change(("relay/n0", "@", PLACE)))
-        self.assertEqual(await self.hand_in("o"), TAKEN)
+        self.assertEqual(await self.hand_in("o"), ACCEPTED)
         await until(lambda: len(calls) == 3)
         self.assertEqual(calls, [b"n", b"n", b"o"])
 
@@ -125,23 +125,23 @@
         fresh = {**settings, "grades": [*settings["grades"], {**settings["grades"][0], "name": "fresh"}]}
         newest = self.server.change(("setting/settings", "*", json.dumps(fresh).encode()))
         await self.applied(newest)
-        self.assertEqual(await self.hand_in("n", **{"X-Class": "fresh"}), TAKEN)
+        self.assertEqual(await self.hand_in("n", **{"X-Class": "fresh"}), ACCEPTED)
         for bad, key in (({**fresh, "rules": {}}, "rules"), ({**fresh, "kinds": 3}, "kinds"), ([], "object")):
             value = json.dumps(bad).encode()
             self.server.change(("setting/settings", "*", value), change(destination(8, "127.0.0.1:9")))
             await until(lambda key=key: key in str(self.server.publisher.reports["n0"].rejected))
             self.assertEqual(self.server.publisher.reports["n0"].rejected.key, "setting/settings")
             self.assertEqual(self.server.publisher.reports["n0"].applied, newest)
-            self.assertEqual(await self.hand_in("o", dest=8), REFUSED)
+            self.assertEqual(await self.hand_in("o", dest=8), UNAVAILABLE)
         self.assertEqual(await self.figure("control_rejected"), 1)
         await self.applied(self.server.change(("setting/settings", "*", json.dumps(fresh).encode())))
-        self.assertEqual(await self.hand_in("o", dest=8), TAKEN)
+        self.assertEqual(await self.hand_in("o", dest=8), ACCEPTED)
         process.send_signal(1)  # SIGHUP: the file has other settings, those of the control machines stay
         await asyncio.sleep(GRACE + 0.3)  # for so long clients may mean the old ones
-        self.assertEqual(await self.hand_in("p", **{"X-Class": "fresh"}), TAKEN)
+        self.assertEqual(await self.hand_in("p", **{"X-Class": "fresh"}), ACCEPTED)
         await self.applied(self.server.change(("setting/settings", "*", None)))
         async with asyncio.timeout(10.0):  # the file's hold again; clients may mean the old ones for a while
-            while await self.hand_in(f"q{time.monotonic()}", **{"X-Class": "fresh"}) == TAKEN:
+            while await self.hand_in(f"q{time.monotonic()}", **{"X-Class": "fresh"}) == ACCEPTED:
                 await asyncio.sleep(0.2)
 
     async def test_a_start_with_no_machine_in_reach_serves_and_says_how_old_that_is(self):
@@ -153,7 +153,7 @@
         await self.stop(process)
         await self.server.close()
         process = await self.go()
-        self.assertEqual(await self.hand_in("n"), TAKEN)
+        self.assertEqual(await self.hand_in("n"), ACCEPTED)
         await until(lambda: calls)
         age = await self.figure("control_age_seconds")
         await asyncio.sleep(1.0)
@@ -163,7 +163,7 @@
         saved = Path(self.folder, scope_file.NAME)
         saved.write_bytes(saved.read_bytes()[:-9])  # damaged: it is passed over, whole
         await self.go()
-        self.assertEqual(await self.hand_in("m"), REFUSED)
+        self.assertEqual(await self.hand_in("m"), UNAVAILABLE)
         self.assertEqual(await self.figure("control_age_seconds"), float("inf"))
 
 
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -12,7 +12,7 @@
 from ryestack.store.journal import FRAME, Journal
 from ryestack.store.ledger import Ledger
 from ryestack.store.timeline import MachineClock
-from ryestack.wire.server import TAKEN
+from ryestack.wire.server import ACCEPTED
 
 from .helpers import Folder, http, stand_in
 from .test_lifecycle import Program
@@ -49,7 +49,7 @@
         server, address = await stand_in(lambda head, _: calls.append(head) or http(200) if up else None)
         other, agent = await stand_in(lambda *_: b"")
         process = await self.start(address, agent)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         process.kill()
         await process.wait()
         with open(f"{self.folder}/owed", "ab") as file:
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -8,15 +8,15 @@
 
 from ryestack import interface as it
 from ryestack.interface import Result
-from ryestack.ports import Item
-from ryestack.wire.calls import Calls
+from ryestack.ports import PushMessage
+from ryestack.wire.calls import CallDispatcher
 from ryestack.wire.endpoint_connection import EndpointConnection
 
 from .helpers import http, members, settings
 
 
-def item(name="n", push=0, timeout=5.0, body=b"x", heard=None, **more):
-    return Item(name, push, timeout, "k", body, heard, **more)
+def item(name="n", push=0, timeout=5.0, body=b"x", acknowledged=None, **more):
+    return PushMessage(name, push, timeout, "k", body, acknowledged, **more)
 
 
 class Crossed(unittest.IsolatedAsyncioTestCase):
@@ -25,7 +25,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         host, port = self.listener.getsockname()
-        self.calls = Calls(
+        self.calls = CallDispatcher(
             settings(connection_idle=5.0), members(address=f"{host}:{port}"), self.loop.time, self.tell, 50
         )
 
@@ -112,7 +112,7 @@
         sock.send(b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 700\r\nContent-Length: 9\r\n\r\nx")
         first = await asyncio.wait_for(self.told.get(), 3.0)
         self.assertEqual(first, it.WaitTold("a", 0.7))
-        self.assertEqual(self.calls.out(), 1)
+        self.assertEqual(self.calls.in_flight(), 1)
         o = await self.next()
         self.assertEqual((o.result, o.wait), (Result.BROKEN, 0.7))
 
@@ -143,22 +143,22 @@
 
     async def gone(self):
         async with asyncio.timeout(2.0):
-            while self.calls.kept:
+            while self.calls.open_connections:
                 await asyncio.sleep(0.01)
 
     async def test_a_call_that_ends_while_its_client_is_told_leaves_that_word_to_the_next(self):
         heard = self.loop.create_future()
-        self.calls.start("a", [item(heard=heard)])
+        self.calls.start("a", [item(acknowledged=heard)])
         await asyncio.sleep(0)
         self.calls.cancel_unsent("a")
         self.assertEqual((await self.next()).result, Result.NOT_SENT)
-        self.calls.start("a", [item(push=1, heard=heard)])
+        self.calls.start("a", [item(push=1, acknowledged=heard)])
         await asyncio.sleep(0)
         self.calls.cancel("n", 1)
         self.assertEqual((await self.next()).result, Result.NO_CONNECTION)
         self.assertFalse(heard.done())
         heard.set_result(True)
-        self.calls.start("a", [item(push=2, heard=heard)])
+        self.calls.start("a", [item(push=2, acknowledged=heard)])
         await self.heard(await self.accept())
 
     async def test_a_call_ended_before_its_first_step_is_told_as_not_sent(self):
--- a/tests/test_first_word.py
+++ b/tests/test_first_word.py
@@ -12,7 +12,7 @@
 from ryestack.store.owed import Owed
 from ryestack.wire import members as directory
 from ryestack.wire.members import watch
-from ryestack.wire.platform import Platform
+from ryestack.wire.platform import PlatformClient
 
 from .helpers import Folder, config, http, listed, members, stand_in
 
@@ -57,7 +57,7 @@
             return http(503) if len(heads) < 4 else http(200, json.dumps(listed(index=9)).encode())
 
         server, address = await stand_in(agent)
-        platform, at = Platform(address), members()
+        platform, at = PlatformClient(address), members()
         with mock.patch.object(following, "RESTS", dict.fromkeys(following.RESTS, 0.2)):
             task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
             for _ in range(3):
@@ -79,7 +79,7 @@
 
             server, address = await stand_in(old)
             other, new = await stand_in(lambda *_: http(200, json.dumps(listed(index=5)).encode()))
-            platform, at = Platform(address), members()
+            platform, at = PlatformClient(address), members()
             task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
             await asyncio.wait_for(seen.wait(), 2.0)
             platform.move(new)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,7 +8,7 @@
 from ryestack.interface import Result
 from ryestack.lifecycle.admission import Refusal
 from ryestack.lifecycle.pushing import Unsent
-from ryestack.ports import Closed, Verdict
+from ryestack.ports import CloseReason, Verdict
 
 from .test_client_connection import WHOLE, Served
 from .test_owner import OwnerMade
@@ -136,7 +136,7 @@
             message = self.hand_in(name)
             o.round([message])
             told.append(message.verdict.result()[0])
-        self.assertEqual(told, [Verdict.TAKEN, Verdict.UNREADABLE, Verdict.THROTTLED])
+        self.assertEqual(told, [Verdict.ACCEPTED, Verdict.REJECTED, Verdict.THROTTLED])
         self.assertEqual(o.refused, {Refusal.ID_IN_USE: 1, Refusal.DECIDED: 1})
         o.emptied = True
         o.round([self.hand_in("o")])
@@ -146,13 +146,13 @@
 class Ended(Served, unittest.IsolatedAsyncioTestCase):
     async def test_an_end_over_a_request_that_was_read_is_told_and_each_end_has_its_reason(self):
         told = []
-        self.clients.server.unanswered = lambda: told.append(True)
-        self.clients.hand_in = lambda message: self.got.append(message)
+        self.clients.server.on_unanswered_close = lambda: told.append(True)
+        self.clients.submit = lambda message: self.got.append(message)
         sock = await self.connect()
         sock.send(WHOLE)
         await self.until(lambda: self.got)
         [connection] = self.clients.server.connections
-        connection.end_for(Closed.ROOM)  # as if it had been taken for idle
+        connection.end_with_reason(CloseReason.EVICTED)  # as if it had been taken for idle
         self.assertEqual(told, [True])
         self.got[0].verdict.set_result((Verdict.THROTTLED, 0.0))
         await self.until(lambda: not self.clients.server.connections)
@@ -164,7 +164,8 @@
         gone = await self.connect()
         gone.close()
         await self.until(lambda: not self.clients.server.connections)
-        self.assertEqual(self.clients.closed, {Closed.ROOM: 1, Closed.IDLE: 1, Closed.CLIENT: 1})
+        reasons = CloseReason.EVICTED, CloseReason.IDLE_TIMEOUT, CloseReason.CLIENT
+        self.assertEqual(self.clients.closed_connections, dict.fromkeys(reasons, 1))
         self.assertEqual((told, idle.fileno() >= 0), ([True], True))
 
 
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -8,7 +8,7 @@
 from ryestack.lifecycle.terms import Terms
 from ryestack.ports import Verdict
 from ryestack.wire.client_connection import GONE
-from ryestack.wire.server import ANSWERED, Clients
+from ryestack.wire.server import ANSWERED, ClientListener
 
 from .helpers import brain, members, settings, take
 from .test_wire import RAW
@@ -34,11 +34,11 @@
 
     def take(message):
         got.append(message)
-        message.verdict.set_result((Verdict.TAKEN, 0.0))
+        message.verdict.set_result((Verdict.ACCEPTED, 0.0))
 
     async def run():
         clock = asyncio.get_running_loop().time
-        clients = Clients(settings(), Terms(settings()), members(), clock, take, got.append, 50)
+        clients = ClientListener(settings(), Terms(settings()), members(), clock, take, got.append, 50)
         await clients.listen("127.0.0.1", 0)
         clients.ready = True
         sock = socket.create_connection(clients.listener.sockets[0].getsockname()[:2], timeout=2.0)
@@ -62,15 +62,15 @@
 
 def test_the_time_of_a_request_that_waited_unread_runs_from_its_coming():
     [message], sent_at = busy_while_it_comes(WHOLE)
-    assert abs(message.ntf.due - (sent_at + SPAN)) < STEP
+    assert abs(message.notification.due - (sent_at + SPAN)) < STEP
     assert abs(message.answer_by - (sent_at + ANSWERED)) < STEP
-    assert BUSY - STEP < message.ntf.late < BUSY + 2 * STEP
+    assert BUSY - STEP < message.notification.late < BUSY + 2 * STEP
 
 
 def test_the_time_of_one_in_pieces_runs_from_the_last():
     [message], sent_at = busy_while_it_comes(WHOLE[:40], WHOLE[40:-1], WHOLE[-1:])
-    assert abs(message.ntf.due - (sent_at + SPAN)) < STEP
-    assert BUSY - STEP < message.ntf.late < BUSY + 2 * STEP
+    assert abs(message.notification.due - (sent_at + SPAN)) < STEP
+    assert BUSY - STEP < message.notification.late < BUSY + 2 * STEP
 
 
 def test_what_its_client_has_given_up_is_refused_unparsed_and_a_look_at_health_is_not():
@@ -92,7 +92,7 @@
 
     async def run():
         clock = asyncio.get_running_loop().time
-        clients = Clients(settings(), Terms(settings()), members(), clock, got.append, got.append, 50)
+        clients = ClientListener(settings(), Terms(settings()), members(), clock, got.append, got.append, 50)
         await clients.listen("127.0.0.1", 0)
         clients.ready = True
         said = [await ask(clients, raw) for raw in (WHOLE, health)]
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -17,7 +17,7 @@
 from ryestack.lifecycle.relay import PHASES, Relay
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
-from ryestack.wire.server import TAKEN
+from ryestack.wire.server import ACCEPTED
 
 from .helpers import Folder, config, http, listed, stand_in
 from .test_wire import HEAD
@@ -84,7 +84,7 @@
             process = await self.start(address, agent, **change)
             for name in ("n", "m"):
                 head = {"X-Request-Id": f"{name}{opened}", "Idempotency-Key": name, "X-Tenant": "c"}
-                self.assertEqual(await self.ask("POST", "/api", **head), TAKEN)
+                self.assertEqual(await self.ask("POST", "/api", **head), ACCEPTED)
                 await asyncio.sleep(1.2)
             self.assertEqual(len(connections), opened)
             process.kill()
@@ -108,8 +108,8 @@
         server, address = await stand_in(endpoint)
         other, agent = await stand_in(platform)
         process = await self.start(address, agent)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "once"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "once"}), ACCEPTED)
         while len(calls) < 2:
             await asyncio.sleep(0.02)
         process.kill()
@@ -130,11 +130,11 @@
             await asyncio.sleep(0.1)
         await asyncio.wait_for(moved.wait(), 2.0)
         silent, began = True, time.monotonic()
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), ACCEPTED)
         process.send_signal(signal.SIGTERM)
         while await self.ask("GET", "/_health") == 200:
             await asyncio.sleep(0.01)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), ACCEPTED)
         while await self.ask("GET", "/_health"):
             await asyncio.sleep(0.05)
         self.assertIsNone(process.returncode)
@@ -155,8 +155,8 @@
             path = config(self.folder, "127.0.0.1:1", limits=limits)
             relay = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
             [listener], dispatcher = relay.parts.listeners, relay.parts.dispatcher
-            self.assertLess(listener.most, 0.9 * sockets / 3)
-            self.assertLess(listener.most + dispatcher.most, sockets - 20)
+            self.assertLess(listener.max_connections, 0.9 * sockets / 3)
+            self.assertLess(listener.max_connections + dispatcher.max_connections, sockets - 20)
             await relay.close()
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -26,7 +26,7 @@
     def __init__(self, clock):
         self.rows, self.bare, self.clock = {}, {}, clock
 
-    def learn(self, told):
+    def apply_list(self, told):
         _, update, rows = read_list(told, self.rows)
         if update.whole:
             for name in set(self.rows) - set(rows):
@@ -34,7 +34,7 @@
         self.rows.update(rows)
         return update
 
-    def leave(self):
+    def drop_removed(self):
         gone = {name for name, row in self.rows.items() if row["status"] == "removed"}
         for name in gone:
             self.bare[int(self.rows.pop(name)["group"])] = self.clock()
@@ -53,10 +53,10 @@
         if what == "wait":
             now += value
         elif what == "leave":
-            assert indexed.leave() == walked.leave()
+            assert indexed.drop_removed() == walked.drop_removed()
         else:
             told = {"index": index, **value}
-            assert indexed.learn(told) == walked.learn(told)
+            assert indexed.apply_list(told) == walked.apply_list(told)
         assert [indexed.has(d) for d in DESTINATIONS] == [walked.has(d) for d in DESTINATIONS]
         assert (indexed.rows, indexed.bare) == (walked.rows, walked.bare)
 
@@ -68,8 +68,8 @@
     for now, number in ((0.0, 1), (10.0, 2), (50.0, 1)):
         for status in ("up", "removed"):
             told = {**row, "name": f"e{number}", "group": number, "status": status}
-            at.learn({"index": 1, "snapshot": False, "endpoints": [told]})
-        at.leave()
+            at.apply_list({"index": 1, "snapshot": False, "endpoints": [told]})
+        at.drop_removed()
     now = 75.0
     assert (at.has(1), at.has(2), at.bare) == (True, False, {1: 50.0})
 
@@ -90,9 +90,9 @@
     at = Members(lambda: 0.0)
     row = {"zone": "z", "type": "shared", "address": "h:1", "status": "up"}
     rows = [{**row, "name": f"e{number}", "group": number} for number in range(50)]
-    at.learn({"index": 1, "snapshot": True, "endpoints": rows})
+    at.apply_list({"index": 1, "snapshot": True, "endpoints": rows})
     at.rows = CountedRows(at.rows)
-    at.learn({"index": 2, "snapshot": False, "endpoints": [{"name": "e7", "status": "removed"}]})
-    assert at.leave() == {"e7"}
+    at.apply_list({"index": 2, "snapshot": False, "endpoints": [{"name": "e7", "status": "removed"}]})
+    assert at.drop_removed() == {"e7"}
     assert (at.has(7), at.has(8), at.has(99)) == (True, True, False)
     assert at.rows.walks == 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 from ryestack.interface import Listed, Result
 from ryestack.membership import following
 from ryestack.wire.members import watch
-from ryestack.wire.platform import Platform
+from ryestack.wire.platform import PlatformClient
 
 from .helpers import brain, end, http, listed, members, pushes, settings, stand_in, take
 
@@ -172,7 +172,7 @@
             return b"" if len(heads) == 2 else http(200, drained)  # b"": open, and silent for good
 
         server, address = await stand_in(agent)
-        platform, at, module = Platform(address), members(), Brain(settings(), 3)
+        platform, at, module = PlatformClient(address), members(), Brain(settings(), 3)
         task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
         began, update = loop.time(), None
         while update is None or not update.endpoints:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -8,7 +8,7 @@
 from ryestack import interface as it
 from ryestack.interface import Result
 from ryestack.lifecycle.owner import Owner
-from ryestack.ports import HandIn, Verdict
+from ryestack.ports import Submission, Verdict
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
 
@@ -25,7 +25,7 @@
         made = Owner(settings(**more), 1, ledger, lambda: self.now, 1000.0)
         made.brain.round(0.0, [self.listed] if not ledger.owed else [])
         self.sent, self.told, self.last = [], [], made
-        made.dispatcher = SimpleNamespace(forget=lambda: None)
+        made.dispatcher = SimpleNamespace(drop_removed_endpoints=lambda: None)
         made.dispatcher.close_idle = made.dispatcher.cancel_unsent = lambda _: None
         made.dispatcher.start = lambda _, items: self.sent.extend((i.id, i.push) for i in items)
         made.notices = SimpleNamespace(add=lambda name, notice: self.told.append((name, notice)))
@@ -38,7 +38,7 @@
 
     def hand_in(self, name, topic="again", due=30.0, body=b"x"):
         loop = asyncio.get_running_loop()
-        return HandIn(take(name, topic, due), "", body, loop.create_future(), loop.create_future())
+        return Submission(take(name, topic, due), "", body, loop.create_future(), loop.create_future())
 
     def again(self, after):
         """The same relay after a kill, so many seconds later."""
@@ -54,7 +54,7 @@
 class OwnerTask(OwnerMade, unittest.IsolatedAsyncioTestCase):
     async def test_a_failed_asking_is_followed_by_another_later_each_time_until_one_goes_well(self):
         o, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
-        o.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
+        o.directory = SimpleNamespace(refresh=lambda: asked.append(self.now))
         self.now += 1.1
         o.round([it.Woken()])  # the asking of a start, which says nothing here
         asked.clear()
@@ -75,7 +75,7 @@
     async def test_journalled_then_answered_then_pushed(self):
         o, message = self.owner(), self.hand_in("n")
         o.round([message])
-        self.assertEqual((message.verdict.result(), self.sent), ((Verdict.TAKEN, 0.0), [("n", 0)]))
+        self.assertEqual((message.verdict.result(), self.sent), ((Verdict.ACCEPTED, 0.0), [("n", 0)]))
         o.ledger.journal.close()
         read = Ledger(Journal(self.folder, 100_000))
         read.recover()
@@ -86,7 +86,7 @@
         o, late, soon = self.owner(), self.hand_in("late"), self.hand_in("soon")
         late.answer_by, soon.answer_by = self.now - 0.01, self.now
         o.round([late, soon])
-        self.assertEqual([m.verdict.result()[0] for m in (late, soon)], [Verdict.THROTTLED, Verdict.TAKEN])
+        self.assertEqual([m.verdict.result()[0] for m in (late, soon)], [Verdict.THROTTLED, Verdict.ACCEPTED])
         self.assertEqual((list(o.ledger.owed), list(o.brain.held)), (["soon"], ["soon"]))
         self.assertEqual(self.sent, [("soon", 0)])
         self.assertEqual(o.ended["again", "throttled"], 1)
@@ -128,13 +128,13 @@
     async def test_an_id_in_use_is_malformed_and_the_first_stays(self):
         o, twice = self.owner(), self.hand_in("n")
         o.round([self.hand_in("n"), twice])
-        self.assertEqual((twice.verdict.result()[0], list(o.ledger.owed)), (Verdict.UNREADABLE, ["n"]))
+        self.assertEqual((twice.verdict.result()[0], list(o.ledger.owed)), (Verdict.REJECTED, ["n"]))
 
     async def test_many_in_one_round_do_not_overfill_the_journal(self):
         o, many = self.owner(), [self.hand_in(f"n{i}", body=b"x" * 3_000) for i in range(90)]
         o.round(many)
         statuses = [m.verdict.result()[0] for m in many]
-        self.assertEqual(statuses.count(Verdict.TAKEN), 10)
+        self.assertEqual(statuses.count(Verdict.ACCEPTED), 10)
         self.assertLess(o.ledger.journal.size, 50_000)
 
     async def test_nearly_full_refuses_and_a_full_disk_does_not_crash(self):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,12 +10,12 @@
 import aiohttp
 
 from ryestack.interface import Listed
-from ryestack.ports import Item
-from ryestack.wire.calls import Calls
+from ryestack.ports import PushMessage
+from ryestack.wire.calls import CallDispatcher
 from ryestack.wire.files import FileNotices
-from ryestack.wire.members import BadList, Fixed, Members, watch
-from ryestack.wire.notices import Notices
-from ryestack.wire.platform import MOST, Platform
+from ryestack.wire.members import BadList, FixedDirectory, Members, watch
+from ryestack.wire.notices import PlatformNotices
+from ryestack.wire.platform import MOST, PlatformClient
 
 from .helpers import http, listed, members, settings, stand_in
 
@@ -24,15 +24,15 @@
     def test_a_removed_entry_may_leave_out_what_is_known(self):
         at = members()
         row = {"name": "a", "status": "removed"}
-        update = at.learn({"index": 2, "snapshot": False, "endpoints": [row]})
+        update = at.apply_list({"index": 2, "snapshot": False, "endpoints": [row]})
         self.assertEqual((update.endpoints[0].listed, update.endpoints[0].destination), (Listed.GONE, 7))
 
     def test_a_destination_outlives_its_endpoints_for_a_while(self):
         now = 5.0
         at = Members(lambda: now)
-        at.learn(listed())
-        at.learn({"index": 2, "snapshot": False, "endpoints": [{"name": "a", "status": "removed"}]})
-        at.leave()
+        at.apply_list(listed())
+        at.apply_list({"index": 2, "snapshot": False, "endpoints": [{"name": "a", "status": "removed"}]})
+        at.drop_removed()
         self.assertEqual((at.rows, at.has(7)), ({}, True))
         now = 66.0
         self.assertEqual((at.has(7), at.bare), (False, {}))
@@ -41,36 +41,38 @@
         told = asyncio.Queue()
         server, address = await stand_in(lambda *_: http(200))
         clock = asyncio.get_running_loop().time
-        calls = Calls(settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 2)
+        calls = CallDispatcher(
+            settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 2
+        )
         for names in ("no", "p"):
             for name in names:
-                calls.start("a", [Item(name, 0, 1.0, "", b"", None)])
+                calls.start("a", [PushMessage(name, 0, 1.0, "", b"", None)])
             await told.get()
-        oldest, *_ = sorted(calls.kept, key=lambda r: r.idle_since)
+        oldest, *_ = sorted(calls.open_connections, key=lambda r: r.idle_since)
         await asyncio.sleep(0.01)
         calls.make_room()
         await asyncio.sleep(0.01)
-        self.assertNotIn(oldest, calls.kept)
+        self.assertNotIn(oldest, calls.open_connections)
         await calls.close()
         server.close()
 
     def test_one_that_is_listed_again_before_it_was_dropped_stays(self):
         at, row = members(), listed()["endpoints"][0]
-        at.learn({**listed(index=2), "endpoints": []})
-        at.learn({"index": 3, "snapshot": False, "endpoints": [{**row, "name": "b"}, row]})
-        self.assertEqual((at.leave(), sorted(at.rows)), (set(), ["a", "b"]))
+        at.apply_list({**listed(index=2), "endpoints": []})
+        at.apply_list({"index": 3, "snapshot": False, "endpoints": [{**row, "name": "b"}, row]})
+        self.assertEqual((at.drop_removed(), sorted(at.rows)), (set(), ["a", "b"]))
 
     def test_odd_numbers_in_a_list_are_bad_rows_or_a_bad_list(self):
         at, row = members(), listed()["endpoints"][0]
         rows = [{**row, "weight": inf}, {**row, "group": inf}, {"name": "a", "weight": 2}]
-        update = at.learn({"index": 2, "snapshot": False, "endpoints": rows})
+        update = at.apply_list({"index": 2, "snapshot": False, "endpoints": rows})
         self.assertEqual([(e.id, e.rate) for e in update.endpoints], [("a", 2.0)])
         with self.assertRaises(BadList):
-            at.learn({"index": inf, "snapshot": False, "endpoints": []})
+            at.apply_list({"index": inf, "snapshot": False, "endpoints": []})
 
     async def test_an_answer_of_the_platform_without_bounds_is_given_up(self):
         server, address = await stand_in(lambda *_: http(200, b"x" * (MOST + 1)))
-        platform = Platform(address)
+        platform = PlatformClient(address)
         with self.assertRaises(aiohttp.ClientError):
             await platform.ask("GET", "/", 3.0)
         await platform.close()
@@ -79,16 +81,16 @@
     def test_an_entry_that_cannot_be_read_hides_no_other(self):
         at = members()
         rows = [{"status": "up"}, 5, {"name": "b", "status": "up"}, {"name": "a", "status": "odd"}]
-        update = at.learn({"index": 3, "snapshot": False, "endpoints": rows})
+        update = at.apply_list({"index": 3, "snapshot": False, "endpoints": rows})
         self.assertEqual([(e.id, e.listed) for e in update.endpoints], [("a", Listed.DRAINING)])
         with self.assertRaises(BadList):
-            at.learn({"index": "x"})
+            at.apply_list({"index": "x"})
 
     async def test_the_watch_goes_on_after_a_bad_answer(self):
         answers, told = [http(500), http(200, b"{"), None], asyncio.Queue()
         good = b'{"index":5,"snapshot":false,"endpoints":[{"name":"a","status":"draining"}]}'
         server, address = await stand_in(lambda *_: answers.pop(0) if answers else http(200, good))
-        at, platform = members(), Platform(address)
+        at, platform = members(), PlatformClient(address)
         task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
         for left in (2, 1):  # a registry that fails is not asked again before it is decided
             self.assertTrue((await asyncio.wait_for(told.get(), 3.0)).failed)
@@ -105,14 +107,14 @@
         odd = (b"[]", b'{"index":"x"}', b"[" * 9000, b'{"index":1,"endpoints":5}')
         for said in (b"", None, http(503), *(http(200, body) for body in odd)):
             server, address = await stand_in(lambda *_, said=said: said)
-            at, told, platform = members(), asyncio.Queue(), Platform(address)
+            at, told, platform = members(), asyncio.Queue(), PlatformClient(address)
             with patch("ryestack.membership.following.GRACE", 0.1):
                 task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
                 update = await asyncio.wait_for(told.get(), 3.0)
             task.cancel()
             await platform.close()
             server.close()
-            self.assertEqual((update.failed, update.endpoints, at.listed()), (True, (), ["a"]), said)
+            self.assertEqual((update.failed, update.endpoints, at.listed_names()), (True, (), ["a"]), said)
 
     async def test_notices_are_sent_until_taken_and_a_bad_one_holds_up_none(self):
         done, bodies = asyncio.Queue(), []
@@ -122,8 +124,8 @@
             return http(400 if b'"m"' in body else 204)
 
         server, address = await stand_in(answer)
-        platform = Platform(address)
-        notices = Notices(platform, done.put_nowait)
+        platform = PlatformClient(address)
+        notices = PlatformNotices(platform, done.put_nowait)
         for name in "nmo":
             notices.add(name, {"state": "returned", "after_ms": 5})
         task = asyncio.ensure_future(notices.run())
@@ -139,7 +141,7 @@
         new = json.dumps(listed(index=2)).encode()  # a version below the old one's
         old_server, old = await stand_in(lambda head, _: heads.put_nowait(head) or b"")
         server, address = await stand_in(lambda head, _: heads.put_nowait(head) or http(200, new))
-        at, platform = members(index=9), Platform(old)
+        at, platform = members(index=9), PlatformClient(old)
         task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
         self.assertIn(b"from=9", await heads.get())
         self.assertTrue(platform.move(address))
@@ -155,8 +157,8 @@
         done, seen = asyncio.Queue(), asyncio.Queue()
         old_server, old = await stand_in(lambda *_: seen.put_nowait(1) or b"")
         server, address = await stand_in(lambda *_: http(204))
-        platform = Platform(old)
-        notices = Notices(platform, done.put_nowait)
+        platform = PlatformClient(old)
+        notices = PlatformNotices(platform, done.put_nowait)
         notices.add("n", {"state": "failed"})
         task = asyncio.ensure_future(notices.run())
         await seen.get()
@@ -176,7 +178,7 @@
             ends.add("n", {"state": "failed"})
             task = asyncio.ensure_future(ends.run())
             await asyncio.sleep(0.05)
-            self.assertEqual((told, ends.waiting()), ([], 1))
+            self.assertEqual((told, ends.pending_count()), ([], 1))
             ends.path = f"{folder}/ends"
             with open(ends.path, "w") as file:
                 file.write('{"id": "torn by a k')
@@ -189,9 +191,9 @@
                 self.assertEqual([json.loads(line)["id"] for line in list(file)[1:]], ["n", "m"])
 
     async def test_a_fixed_list_asks_nobody(self):
-        platform = Platform("127.0.0.1:9")
-        fixed, told = Fixed(platform, listed()), []
-        self.assertEqual([e.id for e in fixed.known().endpoints], ["a"])
+        platform = PlatformClient("127.0.0.1:9")
+        fixed, told = FixedDirectory(platform, listed()), []
+        self.assertEqual([e.id for e in fixed.initial_list().endpoints], ["a"])
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(fixed.run(told.append), 0.05)
         await platform.close()
--- a/tests/test_races_left.py
+++ b/tests/test_races_left.py
@@ -13,12 +13,12 @@
 from ryestack.interface import Result
 from ryestack.lifecycle.owner import Owner
 from ryestack.lifecycle.terms import Terms
-from ryestack.ports import HandIn, Item, Verdict
+from ryestack.ports import PushMessage, Submission, Verdict
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
-from ryestack.wire.calls import Calls
+from ryestack.wire.calls import CallDispatcher
 from ryestack.wire.endpoint_connection import EndpointConnection
-from ryestack.wire.server import Clients
+from ryestack.wire.server import ClientListener
 
 from .helpers import http, members, settings, take
 from .test_wire import RAW
@@ -63,7 +63,7 @@
     host, port = listener.getsockname()
     clock = asyncio.get_running_loop().time
     tell = lambda events: [told.put_nowait(e) for e in events]  # noqa: E731
-    calls = Calls(settings(connection_idle=5.0), members(address=f"{host}:{port}"), clock, tell, 50)
+    calls = CallDispatcher(settings(connection_idle=5.0), members(address=f"{host}:{port}"), clock, tell, 50)
     try:
         await story(calls, listener, told)
     finally:
@@ -71,8 +71,8 @@
         listener.close()
 
 
-def push(name="n", body=b"x") -> Item:
-    return Item(name, 0, 5.0, "k", body, None)
+def push(name="n", body=b"x") -> PushMessage:
+    return PushMessage(name, 0, 5.0, "k", body, None)
 
 
 def test_a_refusal_before_our_last_byte_says_never_ran_so_the_rest_must_not_go_out():
@@ -89,8 +89,8 @@
             calls.start("a", [push(body=body)])
             sock = await far_end(listener)
             await read_until(sock, b"\r\n\r\nb")
-        [connection] = calls.kept
-        assert connection.whole.get_write_buffer_size() > 10_000
+        [connection] = calls.open_connections
+        assert connection.raw_transport.get_write_buffer_size() > 10_000
         sock.send(http(503))
         assert (await outcome(told)).result is Result.FULL
         assert await all_that_comes(sock) < len(body) - 10_000
@@ -126,7 +126,7 @@
     told, ledger = [], Ledger(Journal(folder, 100_000))
     ledger.recover()
     made = Owner(settings(), 1, ledger, lambda: now, 1000.0)
-    made.dispatcher = SimpleNamespace(forget=lambda: None, start=start)
+    made.dispatcher = SimpleNamespace(drop_removed_endpoints=lambda: None, start=start)
     made.dispatcher.close_idle = made.dispatcher.cancel_unsent = lambda _: None
     made.notices = SimpleNamespace(add=lambda name, notice: told.append((name, notice)))
     return made, told
@@ -146,12 +146,12 @@
         first.brain.round(0.0, [listed])
         names = {"one": "once", "two": "again"}
         handed = [
-            HandIn(take(name, topic, 30.0), "", b"x", loop.create_future(), loop.create_future())
+            Submission(take(name, topic, 30.0), "", b"x", loop.create_future(), loop.create_future())
             for name, topic in names.items()
         ]
         first.round(handed)
         assert sorted(killed) == sorted(names)
-        assert [message.verdict.result()[0] for message in handed] == [Verdict.TAKEN] * 2
+        assert [message.verdict.result()[0] for message in handed] == [Verdict.ACCEPTED] * 2
         first.ledger.journal.close()
         pushed = []
         second, told = owner(left, 11.0, lambda _, items: pushed.extend((i.id, i.push) for i in items))
@@ -182,7 +182,7 @@
         assert not any(each.done() for each in asked)
         clock, handed = asyncio.get_running_loop().time, socket.socket(fileno=os.dup(before.fileno()))
         take_on = lambda message: message.verdict.set_result((Verdict.THROTTLED, 0.0))  # noqa: E731
-        clients = Clients(settings(), Terms(settings()), members(), clock, take_on, asked.append, 50)
+        clients = ClientListener(settings(), Terms(settings()), members(), clock, take_on, asked.append, 50)
         await clients.listen(*before.getsockname()[:2], handed)
         before.close()
         async with asyncio.timeout(5.0):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -11,7 +11,7 @@
 from ryestack.lifecycle.config import BadConfig, load
 from ryestack.lifecycle.terms import GRACE, Terms, stricter
 from ryestack.settings import lacking
-from ryestack.wire.server import MALFORMED, TAKEN
+from ryestack.wire.server import ACCEPTED, BAD_REQUEST
 
 from .helpers import TOPICS, Folder, brain, config, end, kinds, pushes, settings, take
 from .test_owner import OwnerTask
@@ -89,7 +89,7 @@
     def hand_in(self, name, topic="again", due=30.0, body=b"x"):
         message = super().hand_in(name, topic, due, body)
         terms = {t.name: t for t in TOPICS}[topic]
-        message.ntf = replace(message.ntf, terms=terms, most=6)
+        message.notification = replace(message.notification, terms=terms, most=6)
         return message
 
     async def test_a_restart_after_a_change_goes_by_the_old_rules(self):
@@ -132,15 +132,16 @@
                 file.write(bad)
             turned_down += 1
             await self.hup(0, turned_down)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Class": "fresh"}), MALFORMED)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Class": "fresh"}), BAD_REQUEST)
         with open(path, "w") as file:
             json.dump(told, file)
         await self.hup(1, turned_down)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "fresh"}), TAKEN)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)  # told as before
+        fresh = {"X-Request-Id": "m", "X-Class": "fresh"}
+        self.assertEqual(await self.ask("POST", "/api", **fresh), ACCEPTED)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), ACCEPTED)  # told as before
         await asyncio.sleep(GRACE)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), MALFORMED)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), BAD_REQUEST)
 
 
 del OwnerTask  # else it runs from here again
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -14,7 +14,7 @@
 from ryestack.lifecycle.relay import PHASES
 from ryestack.lifecycle.watched import Watched
 from ryestack.observe import figures
-from ryestack.wire.server import REFUSED, TAKEN
+from ryestack.wire.server import ACCEPTED, UNAVAILABLE
 from ryestack.wire.staff import MOST
 
 from .helpers import brain, end, http, stand_in, take
@@ -107,18 +107,18 @@
 
 class Address(Staffed, unittest.IsolatedAsyncioTestCase):
     async def test_figures_are_what_peers_saw(self):
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         told = await self.until(handled("again", "passed"), 1)
         self.assertEqual((told["lb_upstream_tries_total", ()], self.seen), (1, 1))
         self.assertEqual((told["lb_known_endpoints", ()], told["lb_in_progress", ()]), (1, 0))
         self.failing = http(500)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "once"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "once"}), ACCEPTED)
         told = await self.until(handled("once", "bad_gateway"), 1)
         while not self.notices:
             await asyncio.sleep(0.01)
         self.assertEqual(self.notices, [{"id": "m", "state": "failed"}])
         late = {"X-Request-Id": "o", "X-Deadline": "1u"}
-        self.assertEqual(await self.ask("POST", "/api", **late), REFUSED)
+        self.assertEqual(await self.ask("POST", "/api", **late), UNAVAILABLE)
         told = await self.until(handled("again", "dropped"), 1)
         self.assertEqual(told["lb_upstream_tries_total", ()], self.seen)
 
@@ -126,10 +126,10 @@
         host, port = self.listen.split(":")
         idle = await asyncio.open_connection(host, int(port))
         self.assertEqual((await self.staff("PUT", "/-/drain"))[0], 200)
-        self.assertEqual(await self.ask("GET", "/_health"), REFUSED)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)  # the front sends on for a moment
+        self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)  # the front sends on for a moment
         self.assertEqual(await asyncio.wait_for(idle[0].read(), 2.0), b"")
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m"}), REFUSED)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m"}), UNAVAILABLE)
         late = await asyncio.open_connection(host, int(port))
         self.assertEqual(await asyncio.wait_for(late[0].read(), 1.0), b"")
         self.assertEqual((await self.staff("PUT", "/-/drain"))[0], 200)
@@ -137,7 +137,7 @@
         for _ in range(2):
             self.assertEqual((await self.staff("PUT", "/-/resume"))[0], 200)
             self.assertEqual(await self.ask("GET", "/_health"), 200)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), ACCEPTED)
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(RAW.replace(b": n\r\n", b": p\r\n").replace(b"X-Tenant: ", b"X-Tenant: c") % 1 + b"x")
         self.assertNotIn(b"close", (await reader.readuntil(b"\r\n\r\n")).lower())  # kept open as ever
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,9 +12,9 @@
 from ryestack.lab.soak.fault_control import Fault, FaultControl, build
 from ryestack.lifecycle import loop_errors
 from ryestack.observe import log
-from ryestack.ports import Item
-from ryestack.wire.calls import Calls
-from ryestack.wire.server import TAKEN
+from ryestack.ports import PushMessage
+from ryestack.wire.calls import CallDispatcher
+from ryestack.wire.server import ACCEPTED
 
 from .helpers import http, members, settings, stand_in
 from .test_client_connection import WHOLE, Served
@@ -104,7 +104,7 @@
         other, agent = await stand_in(lambda *_: b"")
         path = await self.configured(address, agent)
         process = await self.run_it(path, **faults)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         process.kill()
         await process.wait()
         for each in (server, other):
@@ -121,8 +121,8 @@
         listener.setblocking(False)
         loop, told = asyncio.get_running_loop(), asyncio.Queue()
         host, port = listener.getsockname()
-        calls = Calls(settings(), members(address=f"{host}:{port}"), loop.time, told.put_nowait, 50)
-        calls.start("a", [Item("n", 0, 0.4, "k", BODY, None)])
+        calls = CallDispatcher(settings(), members(address=f"{host}:{port}"), loop.time, told.put_nowait, 50)
+        calls.start("a", [PushMessage("n", 0, 0.4, "k", BODY, None)])
         endpoint, _ = await loop.sock_accept(listener)
         [outcome] = await asyncio.wait_for(told.get(), 3.0)
         self.assertIs(outcome.result, Result.TIMED_OUT)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 
 from ryestack.lab.trial import free_port
 from ryestack.lifecycle.upgrade.channel import ChannelListener, hand_over
-from ryestack.wire.server import REFUSED, TAKEN
+from ryestack.wire.server import ACCEPTED, UNAVAILABLE
 
 from .helpers import http
 from .test_staff import Staffed, handled
@@ -54,7 +54,7 @@
         self.stop = True
         await task
         self.assertGreater(len(seen), 30)
-        self.assertEqual((set(seen), self.says), ({TAKEN}, {200}))
+        self.assertEqual((set(seen), self.says), ({ACCEPTED}, {200}))
         while (await self.figures())["lb_in_progress", ()]:
             await asyncio.sleep(0.02)
         self.assertEqual(self.seen, len(seen))  # each once
@@ -62,7 +62,7 @@
 
     async def test_the_old_one_killed_the_new_one_owes_what_it_owed(self):
         self.failing = http(429, X_Retry_In_Ms="2500")
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "n"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "n"}), ACCEPTED)
         first = await self.second()
         first.kill()
         await first.wait()
@@ -75,16 +75,16 @@
     async def test_the_new_one_killed_the_old_one_serves_on_as_before(self):
         first = await self.second()
         for n in range(4):
-            self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": f"n{n}"}), TAKEN)
+            self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": f"n{n}"}), ACCEPTED)
         self.process.kill()
         await self.process.wait()
         await asyncio.sleep(0.3)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m"}), ACCEPTED)
         self.process = first
         again = await self.second()
         again.send_signal(signal.SIGTERM)
         self.assertEqual(await asyncio.wait_for(again.wait(), 3.7), 0)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), ACCEPTED)
 
     async def test_a_caller_that_speaks_nonsense_is_let_go_and_nothing_else_happens(self):
         for word in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
@@ -92,10 +92,10 @@
                 caller.connect(f"{self.folder}/line")
                 caller.sendall(word)
                 await asyncio.sleep(0.05)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         self.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
-        self.assertEqual(await self.ask("GET", "/_health"), REFUSED)  # none of them is waited for
+        self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)  # none of them is waited for
 
     async def test_an_elder_that_tells_nonsense_is_no_reason_not_to_start(self):
         self.process.kill()
@@ -109,7 +109,7 @@
             listener = ChannelListener(self.folder, connected)
             listener.open()
             self.process = await self.run_it(f"{self.folder}/config.json")
-            self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+            self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
             self.process.kill()
             await self.process.wait()
             listener.close()
@@ -124,10 +124,10 @@
         bad = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ryestack", env=env, stderr=asyncio.subprocess.DEVNULL)
         self.assertEqual(await bad.wait(), 2)
-        self.assertEqual(await self.ask("POST", "/api"), TAKEN)
+        self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         self.process.send_signal(signal.SIGTERM)  # a stop as ever: it says so at the door
         await asyncio.sleep(0.1)
-        self.assertEqual(await self.ask("GET", "/_health"), REFUSED)
+        self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)
 
 
 if __name__ == "__main__":
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -7,7 +7,7 @@
 from ryestack.interface import Result
 from ryestack.lifecycle.config import load
 from ryestack.lifecycle.relay import Relay
-from ryestack.ports import HandIn
+from ryestack.ports import Submission
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
 
@@ -32,7 +32,7 @@
         self.started = []
         self.tell(told)
 
-    def forget(self):
+    def drop_removed_endpoints(self):
         pass
 
     cancel_unsent = close_idle = lambda self, endpoint: None
@@ -47,11 +47,11 @@
             owner, loop = relay.owner, asyncio.get_running_loop()
             owner.dispatcher = relay.parts.dispatcher = Dispatcher(owner.put)
             relay.ledger.recover()
-            owner.recover([relay.parts.directory.known()])
+            owner.recover([relay.parts.directory.initial_list()])
             for name in ("n", "m"):
                 owner.brain.slots = 1 if name == "n" else 0  # the second waits for the slot of the first
                 told = loop.create_future(), loop.create_future()
-                owner.round([HandIn(take(name, due=loop.time() + 9.0), "k", b"x", *told)])
+                owner.round([Submission(take(name, due=loop.time() + 9.0), "k", b"x", *told)])
             self.assertEqual([item.id for _, item in owner.dispatcher.started], ["n"])
             task = asyncio.ensure_future(owner.run()) if own_task else None
             await relay.wind_up()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from ryestack.ports import Verdict
 from ryestack.wire import forms
 from ryestack.wire.members import Members
-from ryestack.wire.server import REFUSED, TAKEN, UNREAD, Clients
+from ryestack.wire.server import ACCEPTED, UNAVAILABLE, UNREAD, ClientListener
 
 from .helpers import listed, members, settings
 
@@ -24,10 +24,10 @@
 
 class FromClients(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.got, self.gone, self.verdict = [], [], (Verdict.TAKEN, 0.0)
+        self.got, self.gone, self.verdict = [], [], (Verdict.ACCEPTED, 0.0)
         clock = asyncio.get_running_loop().time
         terms = Terms(settings())
-        self.clients = Clients(settings(), terms, members(), clock, self.take, self.gone.append, 50)
+        self.clients = ClientListener(settings(), terms, members(), clock, self.take, self.gone.append, 50)
         await self.clients.listen("127.0.0.1", 0)
         self.clients.ready = True
         host, port = self.clients.listener.sockets[0].getsockname()
@@ -49,14 +49,15 @@
             return answer
 
     async def test_taken_on(self):
-        self.assertEqual((await self.post(data=b"\x00\xff")).status, TAKEN)
+        self.assertEqual((await self.post(data=b"\x00\xff")).status, ACCEPTED)
         [message] = self.got
-        self.assertEqual((message.ntf.id, message.ntf.destination, message.body), ("n", 7, b"\x00\xff"))
-        self.assertTrue(await message.heard)
+        found = message.notification.id, message.notification.destination, message.body
+        self.assertEqual(found, ("n", 7, b"\x00\xff"))
+        self.assertTrue(await message.acknowledged)
 
     async def test_a_body_stays_the_bytes_that_came(self):
         for body in (zlib.compress(b"x" * 99), b"\x00no such coding"):
-            self.assertEqual((await self.post(data=body, Content_Encoding="deflate")).status, TAKEN)
+            self.assertEqual((await self.post(data=body, Content_Encoding="deflate")).status, ACCEPTED)
             self.assertEqual(self.got.pop().body, body)
 
     async def test_throttled_at_once_with_a_time_to_come_back(self):
@@ -81,7 +82,7 @@
             writer.write(raw)
             await writer.drain()
             writer.close()
-        self.assertEqual((await self.post()).status, TAKEN)
+        self.assertEqual((await self.post()).status, ACCEPTED)
         self.assertEqual(len(self.got), 1)
 
     async def raw(self, *parts, wait=0.0):
@@ -116,7 +117,7 @@
     async def test_noise_behind_an_open_request_ends_the_connection_behind_its_answer(self):
         """A request that was read is answered, whatever its client sends next; nothing behind it is read."""
         self.verdict, loop = None, asyncio.get_running_loop()
-        verdict = (Verdict.TAKEN, 0.0)
+        verdict = (Verdict.ACCEPTED, 0.0)
         loop.call_later(0.15, lambda: self.got[0].verdict.set_result(verdict))
         said = await self.raw(RAW % 1 + b"x", b"\x00\xff\r\n\r\n", RAW % 1 + b"x", wait=0.05)
         statuses = re.findall(rb"HTTP/1\.\d (\d+)", said)
@@ -130,14 +131,14 @@
 
     async def test_too_much_at_once_is_refused(self):
         self.clients.unread = UNREAD
-        self.assertEqual((await self.post()).status, REFUSED)
+        self.assertEqual((await self.post()).status, UNAVAILABLE)
         self.assertEqual(self.clients.unread, UNREAD)
 
     async def test_at_the_bound_the_oldest_idle_connection_makes_room(self):
-        self.clients.most = 3
+        self.clients.max_connections = 3
         idle = [await asyncio.open_connection(*self.at) for _ in range(3)]
         await asyncio.sleep(0.05)
-        self.assertEqual((await self.post()).status, TAKEN)
+        self.assertEqual((await self.post()).status, ACCEPTED)
         self.assertEqual(await asyncio.wait_for(idle[0][0].read(), 1.0), b"")
         for _, writer in idle:
             writer.close()
@@ -150,8 +151,8 @@
             await asyncio.sleep(0.01)
         writer.transport.abort()
         await asyncio.sleep(0.05)
-        self.got[0].verdict.set_result((Verdict.TAKEN, 0.0))
-        self.assertFalse(await self.got[0].heard)
+        self.got[0].verdict.set_result((Verdict.ACCEPTED, 0.0))
+        self.assertFalse(await self.got[0].acknowledged)
         self.assertEqual(self.gone, ["n"])
 
     async def test_health_follows_readiness_and_idle_connections_end_with_the_listener(self):
@@ -182,7 +183,7 @@
         self.assertEqual([forms.report(t) for t in (None, "{", "[1]", '{"x1":2}')], [{}, {}, {}, {"x1": 2}])
 
     def test_an_empty_list_is_a_list(self):
-        self.assertEqual(Members().learn({**listed(), "endpoints": []}).endpoints, ())
+        self.assertEqual(Members().apply_list({**listed(), "endpoints": []}).endpoints, ())
 
 
 if __name__ == "__main__":
