--- a/ryestack/membership/__init__.py
+++ b/ryestack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who and what is there, as decisions apart from their sockets."""
+"""How the list of endpoints is followed: decisions without any I/O."""
--- a/ryestack/membership/following.py
+++ b/ryestack/membership/following.py
@@ -1,44 +1,51 @@
-"""How a list is followed: what each asking may wait for, and how long it may take. Pure: a table.
+"""State machine for following the list: how long each request may wait, and how long it may take. No I/O.
 
-The clock to meet, as the platform sets it: what the registry had, and could have told, counts as told CLOCK
-seconds after that, whatever came between: calls that failed, were refused or given up. So whatever the
-decisions say, the next asking begins `rest` seconds after a failure at most. A call that was open when the
-registry came back, or fell silent, and the answer to the next one both fit in beside it, each with its grace.
+The platform sets a limit on how old the list may be: what the registry had, and could have sent, must be in
+force MAX_AGE_S seconds later, even if calls failed, were refused or were given up in between. So, whatever
+the decision module says, the next request begins at most `max_retry_delay` seconds after a failure. Within
+MAX_AGE_S there is time for a call that was open when the registry came back, or fell silent, and for the
+answer to the next one, each with its grace.
 """
 
 from dataclasses import dataclass
 
-CLOCK, MARGIN = 6.0, 0.5  # seconds; of them, for our own turns and timers
-HOLD = 1.5  # seconds a watch may wait
-GRACE = 1.0  # seconds for an answer beyond that: a relay's own turn, a registry that is busy
+MAX_AGE_S, MARGIN_S = 6.0, 0.5  # the margin, within the age, is for this process's own delays and timers
+HOLD_S = 1.5  # that a watch may wait at the registry
+GRACE_S = 1.0  # for an answer beyond that: this relay's own delays, a busy registry
 
-# (state, what came) -> next state. A list at another address is another list: it is asked for whole.
-FOLLOWING = {
+# (state, event) -> next state. A list at another address is another list: it is requested whole.
+TRANSITIONS = {
     ("unsure", "told"): "following",
     ("following", "failed"): "unsure",
     ("following", "moved"): "unsure",
 }
-HOLDS = {"unsure": 0.0, "following": HOLD}  # seconds that an asking may wait for something new
-RESTS = {state: CLOCK - MARGIN - hold - 2 * GRACE for state, hold in HOLDS.items()}  # after a failure in it
+HOLD_BY_STATE_S = {"unsure": 0.0, "following": HOLD_S}  # that a request may wait for something new
+MAX_RETRY_DELAY_BY_STATE_S = {
+    state: MAX_AGE_S - MARGIN_S - hold - 2 * GRACE_S for state, hold in HOLD_BY_STATE_S.items()
+}  # after a failure in that state
 
 
 @dataclass
-class Following:
-    """state: whether the last asking went well; sure_at: when the registry's word was last had; rest: seconds
-    after the last failure within which the next asking begins."""
+class WatchState:
+    """state: whether the last request succeeded. confirmed_at: when the registry's last answer was requested.
 
-    sure_at: float
+    max_retry_delay: seconds after the last failure within which the next request begins.
+    """
+
+    confirmed_at: float
     state: str = "unsure"
-    rest: float = RESTS["unsure"]
+    max_retry_delay: float = MAX_RETRY_DELAY_BY_STATE_S["unsure"]
 
-    def heard(self, what: str, now: float) -> None:
-        self.rest = RESTS[self.state]
-        self.state = FOLLOWING.get((self.state, what), self.state)
-        self.sure_at = now if what == "told" else self.sure_at
+    def update(self, event: str, now: float) -> None:
+        """Take an event into account: "told", "failed" or "moved"."""
+        self.max_retry_delay = MAX_RETRY_DELAY_BY_STATE_S[self.state]
+        self.state = TRANSITIONS.get((self.state, event), self.state)
+        self.confirmed_at = now if event == "told" else self.confirmed_at
 
     def hold(self) -> float:
-        return HOLDS[self.state]
+        """Seconds that the next request may wait for something new."""
+        return HOLD_BY_STATE_S[self.state]
 
-    def limit(self) -> float:
-        """Seconds after which an asking with no answer counts as failed."""
-        return HOLDS[self.state] + GRACE
+    def timeout(self) -> float:
+        """Seconds after which a request without an answer counts as failed."""
+        return HOLD_BY_STATE_S[self.state] + GRACE_S
--- a/ryestack/ports.py
+++ b/ryestack/ports.py
@@ -1,8 +1,10 @@
-"""What the owner of the decisions expects of the outside, free of any protocol.
+"""Interfaces between the task that owns the decision module and the adapters for clients, endpoints and
+storage.
 
-A Listener hands notifications in and is told verdicts; a Dispatcher starts and cancels calls and tells how
-they ended; a Directory tells list updates; a NoticeSink takes the final answers that are owed. `lifecycle/`
-puts together the ones that the configuration names; no adapter knows another.
+They are independent of any protocol. A Listener submits notifications and receives verdicts; a Dispatcher
+starts and cancels calls and reports how each one ended; a Directory reports updates of the endpoint list; a
+NoticeSink takes the final answers that are owed. `lifecycle/` assembles the adapters that the configuration
+names; no adapter knows another.
 """
 
 from __future__ import annotations
@@ -14,23 +16,23 @@
 from math import inf
 from typing import TYPE_CHECKING, Protocol
 
-from . import interface as it
+from . import interface
 
 if TYPE_CHECKING:
     from asyncio import Future
 
 
 class Verdict(Enum):
-    """What the relay made of a hand-in."""
+    """What the relay decided about a submission."""
 
     ACCEPTED = "taken"
-    THROTTLED = "throttled"  # handing it in again is harmless
-    EXPIRED = "expired"  # nothing is promised of its effect
-    REJECTED = "unreadable"  # it cannot be taken as it is: its id is in use
+    THROTTLED = "throttled"  # submitting it again is harmless
+    EXPIRED = "expired"  # whether it had an effect is unknown
+    REJECTED = "unreadable"  # it cannot be accepted as it is: its id is in use
 
 
 class CloseReason(Enum):
-    """What ended a client's connection; the words are those of the counter and of the log."""
+    """Why a client's connection ended; the values are labels of the counter and fields of the log."""
 
     CLIENT = "its client"
     IDLE_TIMEOUT = "idle for long"
@@ -42,15 +44,15 @@
 
 @dataclass(slots=True)
 class Submission:
-    """A notification that a client hands in.
+    """A notification that a client submits.
 
-    verdict: what the relay made of it, (Verdict, seconds to stay away, 0 if none is told). heard: whether
-    its client was told that it is taken on; pushes wait for it. key: the partner's idempotency key, "" if
-    none; body: the bytes to deliver. answer_by: a time of the clock; later its client has gone, or will
-    have before it can be told.
+    key: the customer's idempotency key, "" if none. body: the bytes to deliver. verdict: the relay's
+    decision, (Verdict, seconds before a retry, 0 if none is given). acknowledged: whether the client received
+    the answer that the notification is accepted; pushes wait for it. answer_by: a time of the clock, after
+    which the client has gone, or will have gone before the answer reaches it.
     """
 
-    notification: it.Notification
+    notification: interface.Notification
     key: str
     body: bytes
     verdict: Future[tuple[Verdict, float]]
@@ -60,10 +62,12 @@
 
 @dataclass(slots=True)
 class PushMessage:
-    """One notification of a call; heard tells whether its client knows that it is taken on (None: it does).
+    """One notification in a call to an endpoint.
 
-    timeout: seconds, of the whole call; begin: the same for its first byte, for after that it may not go.
-    cleared: whether it may go at all, once that is known (None: it may); one that may not counts as not sent.
+    timeout: seconds, for the whole call. acknowledged: whether the client was told that the notification is
+    accepted (None: it was). start_timeout: seconds within which the first byte of the call must be written;
+    after that it is not sent. permitted: whether it may be sent at all, once that is known (None: it may);
+    one that may not counts as not sent.
     """
 
     id: str
@@ -72,105 +76,117 @@
     key: str
     body: bytes
     acknowledged: Future[bool] | None
-    begin: float = inf
-    cleared: Future[bool] | None = None
+    start_timeout: float = inf
+    permitted: Future[bool] | None = None
 
 
-Tell = Callable[[Iterable[object]], None]  # puts events into the owner's queue, in one round together
+PublishEvents = Callable[[Iterable[object]], None]
+"""Puts events into the owner's queue; those of one call are handled in one round."""
 
 
 class Listener(Protocol):
-    """Takes notifications from clients of one protocol; it calls `hand_in(HandIn)` and `withdraw(id)`."""
+    """Takes notifications from clients of one protocol; it calls `submit(Submission)` and `withdraw(id)`."""
 
-    requests_in_progress: int  # requests under way
-    closed_connections: Counter  # connections that have ended, by Closed
+    requests_in_progress: int
+    closed_connections: Counter  # connections that have ended, by CloseReason
 
-    async def open(self, listening_socket=None, beside: bool = False) -> str:
-        """Listen; returns the address. From here on it serves.
+    async def open(self, listening_socket=None, predecessor_alive: bool = False) -> str:
+        """Start to listen and to serve; returns the address.
 
-        listening_socket: that of the process before us, if it handed one over; beside: it lives.
+        listening_socket: that of the preceding process, if it handed one over. predecessor_alive: whether
+        that process still runs.
         """
 
     def descriptor(self) -> int | None:
-        """The descriptor that clients come to, to hand over."""
+        """The descriptor of the listening socket, to hand over to another process."""
 
     def yield_to_successor(self) -> None:
-        """Another process serves here from now on: take no more, and let go of those there are."""
+        """Stop accepting and close the connections: another process serves this address from now on."""
 
     def share(self, processes: int) -> None:
-        """So many processes share the relay's descriptors now."""
+        """Limit this process to its part of the relay's descriptors, which this many processes now share."""
 
     def start_drain(self) -> None:
-        """A stop was asked for: say that no more should come, and take what still does."""
+        """Announce that no more should come, because of a stop or a drain; what still comes is accepted."""
 
     def close_idle_clients(self) -> None:
-        """It was left long enough: end what stands idle, but stay open and answer what still comes."""
+        """End idle connections, now and from now on, once the drain has lasted long enough.
+
+        The listener stays open and answers what still comes.
+        """
 
     def resume(self) -> None:
-        """Serve again, as before it was left or emptied."""
+        """Serve again as before the drain."""
 
-    def apply_settings(self, settings: it.Settings) -> None:
-        """Other settings hold from now on."""
+    def apply_settings(self, settings: interface.Settings) -> None:
+        """Use other settings from now on."""
 
     def stop_accepting(self) -> None:
-        """Take no more; answers under way go on."""
+        """Accept no more connections; requests in progress are still answered."""
 
-    def connection_count(self) -> int: ...
+    def connection_count(self) -> int:
+        """The number of open connections."""
 
 
 class Dispatcher(Protocol):
-    """Carries pushes to endpoints and tells one Outcome for each."""
+    """Sends pushes to endpoints and reports one Outcome for each."""
 
-    def start(self, endpoint: str, items: list[PushMessage]) -> None: ...
+    def start(self, endpoint: str, messages: list[PushMessage]) -> None:
+        """Start calls that carry these messages to the endpoint."""
 
-    def cancel(self, name: str, push: int) -> None: ...
+    def cancel(self, notification_id: str, push: int) -> None:
+        """Cancel the call that carries that push, if there is one."""
 
     def cancel_unsent(self, endpoint: str) -> None:
-        """End calls to that endpoint that have not begun, as not sent: their connection may come up late."""
+        """End the calls to that endpoint that have not begun, as not sent: their connection may come up
+        late."""
 
     def close_idle(self, endpoint: str) -> None:
-        """Close what stands idle to that endpoint; calls that are out go on."""
+        """Close the idle connections to that endpoint; calls in flight continue."""
 
     def drop_removed_endpoints(self) -> None:
-        """The list has changed and the decisions know: let go of what is kept for endpoints gone."""
+        """Release what is kept for removed endpoints, once the decision module has received the new list."""
 
-    written: int  # messages whose call went out whole
+    written: int  # messages whose call was written whole
 
-    def apply_settings(self, settings: it.Settings) -> None:
-        """Other settings hold for calls from now on."""
+    def apply_settings(self, settings: interface.Settings) -> None:
+        """Use other settings for calls from now on."""
 
     def share(self, processes: int) -> None:
-        """So many processes share the relay's descriptors now."""
+        """Limit this process to its part of the relay's descriptors, which this many processes now share."""
 
     def in_flight(self) -> int:
-        """Pushes without an outcome."""
+        """The number of pushes without an outcome."""
 
     async def close(self) -> None:
-        """End all that is out; each gets its outcome."""
+        """End all calls in flight; each push gets its outcome."""
 
 
 class Directory(Protocol):
-    """Follows where endpoints are."""
+    """Follows the list of endpoints."""
 
-    def initial_list(self) -> it.ListUpdate:
-        """What is known before anything is asked."""
+    def initial_list(self) -> interface.ListUpdate:
+        """The list that is known before anything is requested."""
 
-    async def fetch_initial(self) -> list[it.ListUpdate]:
-        """What is told at once when asked now, before anything is pushed; nothing if it takes a moment."""
+    async def fetch_initial(self) -> list[interface.ListUpdate]:
+        """The updates available at once, before anything is pushed; empty if an answer takes too long."""
 
-    async def run(self, tell: Tell) -> None:
-        """Tell list updates until cancelled; what fails is told, and leaves the last list in force."""
+    async def run(self, publish: PublishEvents) -> None:
+        """Publish list updates until cancelled; failures are published too, and leave the last list in
+        force."""
 
     def refresh(self) -> None:
-        """The decisions want it asked now, after what failed."""
+        """Request the list now: the decision module asks for it after a failure."""
 
 
 class NoticeSink(Protocol):
-    """Takes final answers that are owed, and tells the ids that have arrived."""
+    """Takes final answers that are owed, and reports the ids of those that have arrived."""
 
-    def add(self, name: str, notice: dict) -> None:
-        """notice: {"state": "returned" | "failed"}, with "after_ms" where there is a time to come back."""
+    def add(self, notification_id: str, notice: dict) -> None:
+        """notice: {"state": "returned" | "failed"}, with "after_ms" where there is a time before a retry."""
 
-    async def run(self) -> None: ...
+    async def run(self) -> None:
+        """Deliver the notices until cancelled."""
 
-    def pending_count(self) -> int: ...
+    def pending_count(self) -> int:
+        """The number of notices that have not arrived yet."""
--- a/ryestack/wire/__init__.py
+++ b/ryestack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: with clients, with endpoints, with the platform. No decisions here."""
+"""Adapters for the protocols of clients, endpoints, the platform and operators. They decide nothing."""
--- a/ryestack/wire/acceptor.py
+++ b/ryestack/wire/acceptor.py
@@ -1,7 +1,7 @@
-"""Accepts connections on a listening socket, also while the system fails it for a moment.
+"""Accepts connections on a listening socket, and goes on after temporary failures of the system.
 
-asyncio's own server takes no connection for a second after ENFILE or ENOBUFS, logs a traceback for each, may
-go on after it was closed, and closes over connections that wait to be accepted. Clients wait 0.4 s.
+asyncio's own server accepts no connection for a second after ENFILE or ENOBUFS, logs a traceback for each,
+may go on after it was closed, and closes while connections still wait to be accepted. Clients wait 0.4 s.
 """
 
 import asyncio
@@ -11,34 +11,38 @@
 
 from ..observe.log import event
 
-BATCH = 16  # connections accepted in one turn of the loop: what usual clients sent is read between
+ACCEPT_BATCH = 16  # connections accepted in one iteration of the loop: requests are read in between
 BACKLOG = 512
-RETRY = 0.02  # seconds without accepting after the system had no room
-LAST_BATCH = 2 * BACKLOG  # connections accepted as it closes: as many as the queue holds
-NO_ROOM = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
-NOTHING_THERE = {errno.EAGAIN, errno.EWOULDBLOCK}
+RETRY_DELAY_S = 0.02  # without accepting, after the system was out of resources
+CLOSING_BATCH = 2 * BACKLOG  # connections accepted while closing: as many as the queue holds
+OUT_OF_RESOURCES = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
+QUEUE_EMPTY = {errno.EAGAIN, errno.EWOULDBLOCK}
 
 
 class Acceptor:
-    """Gives each connection a protocol from the factory. sockets: the listening one, none once closed."""
+    """Gives each accepted connection a protocol from the factory.
+
+    sockets: the listening socket, none once closed. failures: the number of failed accepts.
+    """
 
     def __init__(self, sock: socket.socket, factory: Callable[[], asyncio.Protocol]):
         sock.setblocking(False)
         sock.listen(BACKLOG)
         self.sockets = [sock]
         self.factory, self.loop = factory, asyncio.get_running_loop()
-        self.retry: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
         self.opening: set[asyncio.Task] = set()
         self.failures = 0
         self.loop.add_reader(sock, self.accept_ready)
 
-    def accept_ready(self, most: int = BATCH) -> None:
-        for _ in range(most):
+    def accept_ready(self, max_connections: int = ACCEPT_BATCH) -> None:
+        """Accept the connections that wait, up to max_connections."""
+        for _ in range(max_connections):
             try:
                 connection, _ = self.sockets[0].accept()
-            except OSError as problem:
-                if problem.errno not in NOTHING_THERE:
-                    self.failed(problem)
+            except OSError as error:
+                if error.errno not in QUEUE_EMPTY:
+                    self.accept_failed(error)
                 return
             connection.setblocking(False)
             task = self.loop.create_task(self.open(connection))
@@ -46,33 +50,39 @@
             task.add_done_callback(self.opening.discard)
 
     async def open(self, connection: socket.socket) -> None:
+        """Attach a protocol to an accepted connection."""
         try:
             await self.loop.connect_accepted_socket(self.factory, connection)
-        except OSError:  # it is gone already
+        except OSError:  # the peer has closed it already
             connection.close()
 
-    def failed(self, problem: OSError) -> None:
-        """An error of one connection ends that one; want of room ends for a moment what asks for it."""
+    def accept_failed(self, error: OSError) -> None:
+        """Log a failed accept. An error of one connection affects that one only; lack of resources pauses
+        accepting for a moment."""
         self.failures += 1
-        event("accept.failed", why=errno.errorcode.get(problem.errno, str(problem)))
-        if problem.errno in NO_ROOM and self.retry is None:
+        event("accept.failed", why=errno.errorcode.get(error.errno, str(error)))
+        if error.errno in OUT_OF_RESOURCES and self.retry_timer is None:
             self.loop.remove_reader(self.sockets[0])
-            self.retry = self.loop.call_later(RETRY, self.go_on)
+            self.retry_timer = self.loop.call_later(RETRY_DELAY_S, self.resume)
 
-    def go_on(self) -> None:
-        self.retry = None
+    def resume(self) -> None:
+        """Accept again after a pause."""
+        self.retry_timer = None
         self.loop.add_reader(self.sockets[0], self.accept_ready)
 
     def close(self, serve_queue: bool = True) -> None:
-        """serve_queue: take what waits to be accepted first, which the system would reset; not where another
-        process accepts from the same queue."""
+        """Stop accepting and close the listening socket.
+
+        serve_queue: first accept the connections that wait in the queue, which the system would reset; False
+        where another process accepts from the same queue.
+        """
         if not self.sockets:
             return
-        if self.retry:
-            self.retry.cancel()
+        if self.retry_timer:
+            self.retry_timer.cancel()
         self.loop.remove_reader(self.sockets[0])
         if serve_queue:
-            self.accept_ready(LAST_BATCH)
-            if self.retry:
-                self.retry.cancel()
+            self.accept_ready(CLOSING_BATCH)
+            if self.retry_timer:
+                self.retry_timer.cancel()
         self.sockets.pop().close()
--- a/ryestack/wire/answers.py
+++ b/ryestack/wire/answers.py
@@ -1,4 +1,4 @@
-"""What the answers of endpoints mean: statuses, words, waits and reports, read from their bytes."""
+"""Reads the answers of endpoints: statuses, result words, waits and load reports."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 from ..settings import left_of, limit_of
 from . import forms
 
-STATUS = {
+RESULT_BY_STATUS = {
     200: Result.DELIVERED,
     410: Result.NOT_SENT,
     413: Result.NOT_SENT,
@@ -17,18 +17,18 @@
     503: Result.FULL,
     504: Result.NOT_SENT,
 }
-WORDS = {
+RESULT_BY_WORD = {
     "done": Result.DELIVERED,
     "failed": Result.ERROR,
     "busy": Result.FULL,
     "void": Result.NOT_SENT,
     "used_up": Result.NOT_SENT,
 }
-OVER = {410, "void"}  # nothing is owed any more
+FINAL = {410, "void"}  # statuses and words after which nothing is owed any more
 
 
 class Answer(NamedTuple):
-    """What one message of a call met; the fields are those of `interface.Outcome`."""
+    """The result for one message of a call; the fields are those of `interface.Outcome`."""
 
     result: Result
     ended: bool = False
@@ -37,30 +37,36 @@
     left: float = 1.0
 
 
-async def bounded(answer: aiohttp.ClientResponse) -> bytes:
+async def read_bounded(response: aiohttp.ClientResponse) -> bytes:
+    """The body of a response; raises aiohttp.ClientPayloadError if it is longer than forms.MAX_BODY_BYTES."""
     body = bytearray()
-    async for chunk in answer.content.iter_any():
+    async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > forms.MOST_BODY:
-            raise aiohttp.ClientPayloadError("an answer without bounds")
+        if len(body) > forms.MAX_BODY_BYTES:
+            raise aiohttp.ClientPayloadError(f"answer longer than {forms.MAX_BODY_BYTES} bytes")
     return bytes(body)
 
 
-def of_one(status: int, headers, wait: float) -> Answer:
-    """What the head of an answer says of the only message of a call."""
-    result = Result.NOT_SENT if "X-No-Slot" in headers else STATUS.get(status, Result.ERROR)
-    report = forms.report(headers.get("X-Load"))
-    return Answer(result, status in OVER, wait, limit_of(report), left_of(report))
+def single_answer(status: int, headers, wait: float) -> Answer:
+    """The answer to a call with one message, from its head. wait: seconds."""
+    result = Result.NOT_SENT if "X-No-Slot" in headers else RESULT_BY_STATUS.get(status, Result.ERROR)
+    report = forms.load_report(headers.get("X-Load"))
+    return Answer(result, status in FINAL, wait, limit_of(report), left_of(report))
 
 
-def of_many(ids: list[str], body: bytes, headers, wait: float) -> dict[str, Answer]:
-    """What a 200 to a call of several says of each; one that it leaves out has failed."""
-    ends, report = forms.ends(body), forms.report(headers.get("X-Load"))
+def batch_answers(ids: list[str], body: bytes, headers, wait: float) -> dict[str, Answer]:
+    """The answer for each id, from a 200 to a call with several messages; one that it leaves out has
+    failed."""
+    result_words, report = forms.result_words(body), forms.load_report(headers.get("X-Load"))
     limit, left = limit_of(report), left_of(report)
-    words = {name: ends.get(name, "failed") for name in ids}
-    return {n: Answer(WORDS.get(w, Result.ERROR), w in OVER, wait, limit, left) for n, w in words.items()}
+    words = {name: result_words.get(name, "failed") for name in ids}
+    return {
+        n: Answer(RESULT_BY_WORD.get(w, Result.ERROR), w in FINAL, wait, limit, left)
+        for n, w in words.items()
+    }
 
 
-def milliseconds(text: str | None) -> float:
-    told = forms.NUMBER.fullmatch((text or "").strip())
-    return float(told[0]) / 1000.0 if told else 0.0
+def seconds_from_ms(text: str | None) -> float:
+    """Seconds from the text of a number of milliseconds; 0.0 if there is none or it cannot be read."""
+    number = forms.NUMBER.fullmatch((text or "").strip())
+    return float(number[0]) / 1000.0 if number else 0.0
--- a/ryestack/wire/batch.py
+++ b/ryestack/wire/batch.py
@@ -1,4 +1,4 @@
-"""The messages of one call: which of them may go, and the request that carries them."""
+"""The messages of one call: which of them may be sent, and the request that carries them."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -9,32 +9,35 @@
 
 @dataclass(slots=True)
 class Batch:
-    """items: those that go, or are not known not to; void: their clients do not know that they are taken on;
-    held: they may not go yet."""
+    """The messages of one call, by whether they may be sent.
 
-    items: list[PushMessage]
-    void: list[PushMessage] = field(default_factory=list)
-    held: list[PushMessage] = field(default_factory=list)
+    messages: those that may be sent, or of which it is not known yet. unacknowledged: those whose clients
+    were not told that the notification is accepted. not_permitted: those that may not be sent yet.
+    """
 
-    async def wait_until_clear(self) -> None:
-        """Until it is known of each whether its client has heard, and whether it may go.
+    messages: list[PushMessage]
+    unacknowledged: list[PushMessage] = field(default_factory=list)
+    not_permitted: list[PushMessage] = field(default_factory=list)
 
-        Shielded: a call that ends while it waits must not take away what the next one waits for.
+    async def wait_until_ready(self) -> None:
+        """Wait until it is known of each message whether its client was told, and whether it may be sent.
+
+        The futures are shielded: a call that ends while it waits must not cancel what the next one waits for.
         """
-        heard = [i.acknowledged is None or await asyncio.shield(i.acknowledged) for i in self.items]
-        self.void = [item for item, told in zip(self.items, heard, strict=True) if not told]
-        self.items = [item for item in self.items if item not in self.void]
-        clear = [i.cleared is None or await asyncio.shield(i.cleared) for i in self.items]
-        self.held = [item for item, may in zip(self.items, clear, strict=True) if not may]
-        self.items = [item for item in self.items if item not in self.held]
+        acknowledged = [m.acknowledged is None or await asyncio.shield(m.acknowledged) for m in self.messages]
+        self.unacknowledged = [m for m, known in zip(self.messages, acknowledged, strict=True) if not known]
+        self.messages = [message for message in self.messages if message not in self.unacknowledged]
+        permitted = [m.permitted is None or await asyncio.shield(m.permitted) for m in self.messages]
+        self.not_permitted = [m for m, may in zip(self.messages, permitted, strict=True) if not may]
+        self.messages = [message for message in self.messages if message not in self.not_permitted]
 
 
-def request_of(items: list[PushMessage]) -> tuple[str, bytes, dict[str, str]]:
+def request_of(messages: list[PushMessage]) -> tuple[str, bytes, dict[str, str]]:
     """Path, body and headers of the request for one message or several."""
-    if len(items) > 1:
-        return "/receive-many", forms.many([(i.id, i.key, i.body) for i in items]), {}
-    [item] = items
-    headers = {"X-Request-Id": item.id}
-    if item.key:
-        headers["Idempotency-Key"] = item.key
-    return "/receive", item.body, headers
+    if len(messages) > 1:
+        return "/receive-many", forms.batch_body([(m.id, m.key, m.body) for m in messages]), {}
+    [message] = messages
+    headers = {"X-Request-Id": message.id}
+    if message.key:
+        headers["Idempotency-Key"] = message.key
+    return "/receive", message.body, headers
--- a/ryestack/wire/binding.py
+++ b/ryestack/wire/binding.py
@@ -1,4 +1,4 @@
-"""Binds a listening socket, and waits where the system can't give one for a moment."""
+"""Binds a listening socket, and retries while the system cannot provide one."""
 
 import asyncio
 import errno
@@ -8,32 +8,36 @@
 from ..observe.log import event
 from .acceptor import BACKLOG
 
-RETRY = 0.05  # seconds before another try
-PATIENCE = 8.0  # seconds: a restart is ready within ten
-# Of a moment. An address in use, or one that is none of ours, is for people to mend.
-PASSING = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH}
+RETRY_INTERVAL_S = 0.05
+RETRY_LIMIT_S = 8.0  # a restart is ready within ten seconds
+# An address in use, or one that this machine does not have, is not among them: an operator has to correct it.
+TEMPORARY_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENETUNREACH}
 
 
-async def bound_socket(host: str, port: int, beside: bool = False, reuse: bool = False) -> socket.socket:
+async def bound_socket(
+    host: str, port: int, predecessor_alive: bool = False, reuse: bool = False
+) -> socket.socket:
     """A socket that listens at that address; raises OSError.
 
-    reuse: another process of this relay may listen there later; beside: it may already, else the address must
-    be free.
+    reuse: another process of this relay may listen there later. predecessor_alive: one may listen there
+    already; else the address must be free.
     """
-    until = time.monotonic() + PATIENCE
+    give_up_at = time.monotonic() + RETRY_LIMIT_S
     while True:
         try:
-            if reuse and not beside:
+            if reuse and not predecessor_alive:
                 socket.create_server((host, port), backlog=1).close()
             return socket.create_server((host, port), backlog=BACKLOG, reuse_port=reuse)
-        except OSError as problem:
-            passing = problem.errno in PASSING or (problem.errno == errno.EADDRNOTAVAIL and is_local(host))
-            if not passing or time.monotonic() > until:
+        except OSError as error:
+            temporary = error.errno in TEMPORARY_ERRORS or (
+                error.errno == errno.EADDRNOTAVAIL and is_local(host)
+            )
+            if not temporary or time.monotonic() > give_up_at:
                 raise
-            event("accept.failed", why=errno.errorcode[problem.errno])
-        await asyncio.sleep(RETRY)
+            event("accept.failed", why=errno.errorcode[error.errno])
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 def is_local(host: str) -> bool:
-    """An address that every machine has: that it is not available passes."""
+    """Whether it is an address that every machine has: EADDRNOTAVAIL for it is temporary."""
     return host.startswith("127.") or host == "0.0.0.0"
--- a/ryestack/wire/calls.py
+++ b/ryestack/wire/calls.py
@@ -6,119 +6,118 @@
 
 import aiohttp
 
-from .. import interface as it
+from .. import interface
 from ..interface import Result
 from ..observe.log import fault
 from ..ports import PushMessage
 from . import forms
-from .answers import Answer, bounded, milliseconds, of_many, of_one
+from .answers import Answer, batch_answers, read_bounded, seconds_from_ms, single_answer
 from .batch import Batch, request_of
-from .endpoint_connection import CALL, MOST_HEAD, EndpointConnection, Progress
-from .sockets import is_of_this_machine
+from .endpoint_connection import CURRENT_CALL, MAX_HEAD_BYTES, CallProgress, EndpointConnection
+from .sockets import is_local_fault
 
-IDLE_PART = 0.95  # of the time after which the other side closes an idle connection; we do so earlier
-# Seconds that an answer may take after its first line, which mostly comes with it. After a 200 to one message
-# there is nothing more to learn, and a connection given up costs a handshake; the others tell who ran.
-REST_OF_200, REST = 0.05, 0.25
+IDLE_FRACTION = 0.95  # of the time after which endpoints close an idle connection: this side closes it first
+# Time-outs for the rest of an answer after its first line, which mostly comes with it. After a 200 to one
+# message there is nothing more to learn, but a connection given up costs a handshake; other answers tell who
+# ran.
+REST_OF_200_S, REST_S = 0.05, 0.25
 
 
 class CallDispatcher:
-    """Starts and cancels calls; tell(events) puts their outcomes into the owner's queue together."""
-
-    def __init__(self, settings: it.Settings, members, clock, tell, most: int):
-        self.members, self.clock, self.tell, self.whole, self.max_connections = (
-            members,
-            clock,
-            tell,
-            most,
-            most,
-        )
+    """Starts and cancels calls; publish(events) puts their outcomes into the owner's queue together.
+
+    written: messages whose call was written whole. running: the task of the call that carries each push.
+    progress: of each call's task, whether the call has begun or not. open_connections: all connections to
+    endpoints, the oldest first.
+    """
+
+    def __init__(self, settings: interface.Settings, members, clock, publish, max_connections: int):
+        self.members, self.clock, self.publish = members, clock, publish
+        self.connection_budget = self.max_connections = max_connections
         self.running: dict[tuple[str, int], asyncio.Task] = {}
-        self.written = 0  # messages whose call went out whole
-        self.open_connections: dict[
-            EndpointConnection, None
-        ] = {}  # all connections to endpoints, the oldest first
-        self.begun: dict[asyncio.Task, Progress] = {}  # of all calls, begun or not yet
+        self.written = 0
+        self.open_connections: dict[EndpointConnection, None] = {}
+        self.progress: dict[asyncio.Task, CallProgress] = {}
         self.apply_settings(settings)
-        idle = settings.connection_idle * IDLE_PART
+        idle = settings.connection_idle * IDLE_FRACTION
         connector = aiohttp.TCPConnector(
             limit=0,
             happy_eyeballs_delay=None,
             **({"keepalive_timeout": idle} if idle else {"force_close": True}),
         )
-        connector._factory = partial(
-            EndpointConnection, asyncio.get_running_loop(), self.open_connections
-        )  # the library has no hook
+        # aiohttp offers no public way to replace the protocol class.
+        connector._factory = partial(EndpointConnection, asyncio.get_running_loop(), self.open_connections)
         self.session = aiohttp.ClientSession(
             connector=connector,
-            max_line_size=MOST_HEAD,
-            max_field_size=MOST_HEAD,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
             cookie_jar=aiohttp.DummyCookieJar(),
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             auto_decompress=False,
         )
 
-    def apply_settings(self, settings: it.Settings) -> None:
-        self.batch = {k.name: k.batch for k in settings.kinds}
-        self.limits = aiohttp.ClientTimeout(total=None, sock_connect=settings.connect_timeout or None)
+    def apply_settings(self, settings: interface.Settings) -> None:
+        self.batch_sizes = {k.name: k.batch for k in settings.kinds}
+        self.client_timeout = aiohttp.ClientTimeout(total=None, sock_connect=settings.connect_timeout or None)
 
-    def start(self, endpoint: str, items: list[PushMessage]) -> None:
-        """Send the messages of one turn, as many in a call as that kind of endpoint takes."""
-        most = self.batch.get(self.members.kind(endpoint), 1)
-        for at in range(0, len(items), most):
-            self.start_one(endpoint, items[at : at + most])
+    def start(self, endpoint: str, messages: list[PushMessage]) -> None:
+        """Send the messages of one round, as many in a call as that kind of endpoint takes."""
+        batch_size = self.batch_sizes.get(self.members.kind(endpoint), 1)
+        for first in range(0, len(messages), batch_size):
+            self.start_call(endpoint, messages[first : first + batch_size])
 
-    def start_one(self, endpoint: str, items: list[PushMessage]) -> None:
-        """A call is over when the time of the first of its messages is up: whether an answer that comes later
-        stands for the others is not ours to say, and the connection must not bring it."""
-        progress = Progress(endpoint)
+    def start_call(self, endpoint: str, messages: list[PushMessage]) -> None:
+        """Start one call. It ends with the shortest timeout of its messages: whether a later answer holds for
+        the others is not for this relay to decide, and the connection must not deliver it."""
+        progress = CallProgress(endpoint)
         task = asyncio.get_running_loop().create_task(
-            self.run(progress, items, min(item.timeout for item in items))
+            self.run(progress, messages, min(message.timeout for message in messages))
         )
-        self.begun[task] = progress
-        task.add_done_callback(partial(self.over, items))
-        for item in items:
-            self.running[item.id, item.push] = task
-
-    def over(self, items: list[PushMessage], task: asyncio.Task) -> None:
-        """A task that is cancelled before its first step never runs at all: its pushes were not sent."""
-        progress = self.begun.pop(task)
-        left = [i for i in items if self.running.get((i.id, i.push)) is task]
-        for item in left:
-            del self.running[item.id, item.push]
+        self.progress[task] = progress
+        task.add_done_callback(partial(self.finished, messages))
+        for message in messages:
+            self.running[message.id, message.push] = task
+
+    def finished(self, messages: list[PushMessage], task: asyncio.Task) -> None:
+        """Report pushes as not sent whose task was cancelled before its first step, and so never ran."""
+        progress = self.progress.pop(task)
+        left = [m for m in messages if self.running.get((m.id, m.push)) is task]
+        for message in left:
+            del self.running[message.id, message.push]
         if left:
-            self.tell([it.Outcome(i.id, i.push, progress.endpoint, Result.NOT_SENT) for i in left])
+            self.publish([interface.Outcome(m.id, m.push, progress.endpoint, Result.NOT_SENT) for m in left])
 
-    def cancel(self, name: str, push: int) -> None:
-        if (name, push) in self.running:
-            self.running[name, push].cancel()
+    def cancel(self, notification_id: str, push: int) -> None:
+        if (notification_id, push) in self.running:
+            self.running[notification_id, push].cancel()
 
     def drop_removed_endpoints(self) -> None:
-        """What stays open to endpoints that are gone ends here; calls that are out go on."""
-        self.end_idle(self.members.drop_removed())
+        """Close the idle connections to endpoints that were removed; calls in flight continue."""
+        self.close_idle_connections(self.members.drop_removed())
 
     def cancel_unsent(self, endpoint: str) -> None:
-        for progress in self.begun.values():
+        for progress in self.progress.values():
             if progress.endpoint == endpoint:
-                self.not_begun(progress)
+                self.end_unless_sent(progress)
 
     def close_idle(self, endpoint: str) -> None:
-        self.end_idle({endpoint})
+        self.close_idle_connections({endpoint})
 
-    def end_idle(self, endpoints: set[str]) -> None:
-        for reply in [r for r in self.open_connections if r.call is None and r.endpoint in endpoints]:
-            reply.spoilt()
+    def close_idle_connections(self, endpoints: set[str]) -> None:
+        for connection in [c for c in self.open_connections if c.call is None and c.endpoint in endpoints]:
+            connection.discard()
 
-    def make_room(self) -> None:
-        idle = [r for r in self.open_connections if r.call is None]
+    def evict_at_limit(self) -> None:
+        """Close the connection that has been idle longest if as many are open as may be."""
+        idle = [c for c in self.open_connections if c.call is None]
         if len(idle) + len(set(self.running.values())) >= self.max_connections and idle:
-            min(idle, key=lambda r: r.idle_since).spoilt()
+            min(idle, key=lambda c: c.idle_since).discard()
 
     def share(self, processes: int) -> None:
-        self.max_connections = max(1, self.whole // processes)
-        idle = sorted((r for r in self.open_connections if r.call is None), key=lambda r: r.idle_since)
-        for reply in idle[: max(0, len(self.open_connections) - self.max_connections)]:
-            reply.spoilt()
+        self.max_connections = max(1, self.connection_budget // processes)
+        idle = sorted((c for c in self.open_connections if c.call is None), key=lambda c: c.idle_since)
+        for connection in idle[: max(0, len(self.open_connections) - self.max_connections)]:
+            connection.discard()
 
     def in_flight(self) -> int:
         return len(self.running)
@@ -130,106 +129,121 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         await self.session.close()
 
-    async def run(self, progress: Progress, items: list[PushMessage], timeout: float) -> None:
-        began, batch, answers = self.clock(), Batch(items), {}
-        lapse = self.prepare(progress, batch, timeout)
-        broke = Result.BROKEN
+    async def run(self, progress: CallProgress, messages: list[PushMessage], timeout: float) -> None:
+        """Make one call and report the outcome of each message. timeout: seconds."""
+        began, batch, answers = self.clock(), Batch(messages), {}
+        start_timer = self.prepare(progress, batch, timeout)
+        failure = Result.BROKEN
         try:
-            async with progress.limit:
-                await batch.wait_until_clear()
-                if batch.items:
-                    if progress.too_late:  # called off before it began
+            async with progress.timeout:
+                await batch.wait_until_ready()
+                if batch.messages:
+                    if progress.too_late:  # cancelled before it began
                         raise TimeoutError
-                    answers = await self.post(progress.endpoint, batch.items, began + timeout)
+                    answers = await self.post(progress.endpoint, batch.messages, began + timeout)
         except asyncio.CancelledError:
-            broke = Result.CANCELLED
+            failure = Result.CANCELLED
         except TimeoutError:
-            broke = Result.BROKEN if progress.status else Result.TIMED_OUT
-        except (aiohttp.ClientError, OSError, ValueError) as problem:
-            progress.local_fault = is_of_this_machine(problem)
-        except Exception:  # whatever it was, the message keeps its outcome
+            failure = Result.BROKEN if progress.status else Result.TIMED_OUT
+        except (aiohttp.ClientError, OSError, ValueError) as error:
+            progress.local_fault = is_local_fault(error)
+        except Exception:  # the messages get their outcome whatever the fault
             fault("call.fault", endpoint=progress.endpoint)
         finally:
-            progress.limit = progress.connection = None  # over: the connection may carry another call
-            if lapse:
-                lapse.cancel()
-        if not progress.begun or progress.unsent:
-            broke = Result.NOT_SENT if progress.not_tried else Result.NO_CONNECTION
-        self.conclude(progress, batch, answers, broke, self.clock() - began)
-
-    def prepare(self, progress: Progress, batch: Batch, timeout: float) -> asyncio.TimerHandle | None:
-        """Tie a call to its connection; the timer ends it if its first byte has not gone in time."""
-        loop, last = asyncio.get_running_loop(), min(item.begin for item in batch.items)
-        progress.limit = asyncio.timeout(timeout)
-        progress.heard = lambda: self.first_line(progress, len(batch.items) == 1)
-        progress.told = partial(self.told, progress)
-        progress.wrote = lambda: self.wrote(len(batch.items))
-        CALL.set(progress)  # for this task, which is this call's
-        if last == inf:
+            progress.timeout = progress.connection = (
+                None  # the connection may carry another call from here on
+            )
+            if start_timer:
+                start_timer.cancel()
+        if not progress.begun or progress.recalled:
+            failure = Result.NOT_SENT if progress.not_attempted else Result.NO_CONNECTION
+        self.report_outcomes(progress, batch, answers, failure, self.clock() - began)
+
+    def prepare(self, progress: CallProgress, batch: Batch, timeout: float) -> asyncio.TimerHandle | None:
+        """Connect a call's callbacks; returns the timer that ends it if its first byte is not written in
+        time."""
+        loop, start_timeout = asyncio.get_running_loop(), min(m.start_timeout for m in batch.messages)
+        progress.timeout = asyncio.timeout(timeout)
+        progress.on_status_line = lambda: self.status_line_received(progress, len(batch.messages) == 1)
+        progress.on_head = partial(self.head_received, progress)
+        progress.on_written = lambda: self.call_written(len(batch.messages))
+        CURRENT_CALL.set(progress)  # of this task, which makes no other call
+        if start_timeout == inf:
             return None
-        progress.begin = loop.time() + last
-        return loop.call_at(progress.begin, self.not_begun, progress)
-
-    def conclude(
-        self, progress: Progress, batch: Batch, answers: dict[str, Answer], broke: Result, elapsed: float
+        progress.start_deadline = loop.time() + start_timeout
+        return loop.call_at(progress.start_deadline, self.end_unless_sent, progress)
+
+    def report_outcomes(
+        self,
+        progress: CallProgress,
+        batch: Batch,
+        answers: dict[str, Answer],
+        failure: Result,
+        elapsed: float,
     ) -> None:
-        """Tell the outcome of each message. broke: of those without an answer; elapsed: seconds."""
+        """Publish the outcome of each message. failure: of those without an answer. elapsed: seconds."""
         if not answers:
-            one = Result.DELIVERED if progress.status == 200 and len(batch.items) == 1 else broke
-            answers = dict.fromkeys([item.id for item in batch.items], Answer(one, wait=progress.wait))
-        stale = broke is Result.BROKEN and progress.kept and not progress.words
+            result = Result.DELIVERED if progress.status == 200 and len(batch.messages) == 1 else failure
+            answers = dict.fromkeys([m.id for m in batch.messages], Answer(result, wait=progress.wait))
+        stale = failure is Result.BROKEN and progress.reused and not progress.bytes_received
         outcomes = [
-            it.Outcome(i.id, i.push, progress.endpoint, Result.NOT_SENT, elapsed, i in batch.void)
-            for i in batch.void + batch.held
+            interface.Outcome(
+                m.id, m.push, progress.endpoint, Result.NOT_SENT, elapsed, m in batch.unacknowledged
+            )
+            for m in batch.unacknowledged + batch.not_permitted
         ]
-        for item in batch.items:
-            result, ended, wait, limit, left = answers[item.id]
-            told = elapsed, ended, wait, limit, stale and result is broke, left
-            outcomes.append(it.Outcome(item.id, item.push, progress.endpoint, result, *told))
-        self.tell([o for o in outcomes if self.running.pop((o.id, o.push), None)])
-
-    def not_begun(self, progress: Progress) -> bool:
-        """Ends a call of which nothing, or not the last byte, is written; returns whether it may run."""
-        if progress.begun and not progress.call_back():
+        for message in batch.messages:
+            result, ended, wait, limit, left = answers[message.id]
+            details = elapsed, ended, wait, limit, stale and result is failure, left
+            outcomes.append(interface.Outcome(message.id, message.push, progress.endpoint, result, *details))
+        self.publish([o for o in outcomes if self.running.pop((o.id, o.push), None)])
+
+    def end_unless_sent(self, progress: CallProgress) -> bool:
+        """End a call unless its last byte is written; returns whether it may run at the endpoint."""
+        if progress.begun and not progress.recall():
             return True
-        progress.too_late, progress.begin = True, -inf  # should it connect in this very turn
-        if progress.limit and not progress.limit.expired():
-            progress.limit.reschedule(asyncio.get_running_loop().time())
+        progress.too_late, progress.start_deadline = True, -inf  # in case it connects in this loop iteration
+        if progress.timeout and not progress.timeout.expired():
+            progress.timeout.reschedule(asyncio.get_running_loop().time())
         return False
 
-    def told(self, progress: Progress, headers) -> None:
-        """A head is whole: a wait in it holds from now on, whatever becomes of the rest."""
-        progress.wait = milliseconds(headers.get("X-Retry-In-Ms"))
+    def head_received(self, progress: CallProgress, headers) -> None:
+        """Publish a wait in the head of an answer: it holds at once, even if the rest never comes."""
+        progress.wait = seconds_from_ms(headers.get("X-Retry-In-Ms"))
         if progress.wait > 0.0:
-            self.tell([it.WaitTold(progress.endpoint, progress.wait)])
+            self.publish([interface.WaitTold(progress.endpoint, progress.wait)])
 
-    def wrote(self, messages: int) -> None:
+    def call_written(self, messages: int) -> None:
         self.written += messages
 
-    def first_line(self, progress: Progress, single: bool) -> None:
-        rest, limit = REST_OF_200 if single and progress.status == 200 else REST, progress.limit
-        if limit and not limit.expired():
-            limit.reschedule(min(limit.when(), asyncio.get_running_loop().time() + rest))
+    def status_line_received(self, progress: CallProgress, single: bool) -> None:
+        """Shorten the timeout to that of the rest of the answer."""
+        rest, timeout = REST_OF_200_S if single and progress.status == 200 else REST_S, progress.timeout
+        if timeout and not timeout.expired():
+            timeout.reschedule(min(timeout.when(), asyncio.get_running_loop().time() + rest))
 
-    async def post(self, endpoint: str, items: list[PushMessage], until: float) -> dict[str, Answer]:
-        """Id to answer, once all of it has come."""
+    async def post(self, endpoint: str, messages: list[PushMessage], deadline: float) -> dict[str, Answer]:
+        """The answer for each id, once the response is complete. deadline: a time of the clock."""
         address = self.members.address(endpoint)
-        if address is None:  # it went off the list a moment ago
-            return {item.id: Answer(Result.NOT_SENT) for item in items}
-        self.make_room()
-        deadline = forms.duration(until - self.clock())
-        path, body, headers = request_of(items)
-        # The name keeps connections apart by endpoint: another at the same address gets none of them.
-        more = {
+        if address is None:  # it was removed from the list meanwhile
+            return {message.id: Answer(Result.NOT_SENT) for message in messages}
+        self.evict_at_limit()
+        remaining = forms.format_duration(deadline - self.clock())
+        path, body, headers = request_of(messages)
+        # server_hostname separates connections by endpoint: another one at the same address gets none of
+        # them.
+        options = {
             "data": body,
-            "headers": {"X-Deadline": deadline, **headers},
-            "timeout": self.limits,
+            "headers": {"X-Deadline": remaining, **headers},
+            "timeout": self.client_timeout,
             "allow_redirects": False,
             "server_hostname": endpoint,
         }
-        async with self.session.post(f"http://{address}{path}", **more) as answer:
-            wait = CALL.get().wait
-            said = await bounded(answer)
-            if len(items) > 1 and answer.status == 200:
-                return of_many([item.id for item in items], said, answer.headers, wait)
-            return dict.fromkeys([item.id for item in items], of_one(answer.status, answer.headers, wait))
+        async with self.session.post(f"http://{address}{path}", **options) as response:
+            wait = CURRENT_CALL.get().wait
+            content = await read_bounded(response)
+            if len(messages) > 1 and response.status == 200:
+                return batch_answers([m.id for m in messages], content, response.headers, wait)
+            return dict.fromkeys(
+                [m.id for m in messages], single_answer(response.status, response.headers, wait)
+            )
--- a/ryestack/wire/client_connection.py
+++ b/ryestack/wire/client_connection.py
@@ -1,8 +1,8 @@
-"""One client's connection, on aiohttp's low-level server, and the one way in which we end it.
+"""One client's connection, on aiohttp's low-level server, and the one way in which the relay ends it.
 
-A close over bytes that are still unread resets the connection, and an answer on its way goes with it. So an
-end of ours is a half-close: our sending ends behind what is written, what the client still sends is read and
-thrown away, and the connection closes with the client's own end, or after LINGER.
+A close while bytes are still unread resets the connection, and discards an answer on its way. So the relay
+ends a connection with a half-close: its sending ends behind what is written, what the client still sends is
+read and discarded, and the connection closes with the client's own end, or after LINGER_TIMEOUT_S.
 """
 
 import asyncio
@@ -13,42 +13,43 @@
 
 from ..observe.log import detailed, event
 from ..ports import CloseReason
-from .sockets import unread, waited
+from .sockets import has_unread, seconds_since_received
 
-IDLE = 2.2  # seconds: a connection with no open request may end after 2, and a bad client must hear within 3
-QUIET_FOR = 0.3  # seconds that one which is let go has said nothing
-BODY = 2.6  # seconds for a first request from its connection on, for a later one from its head on
-GONE = 0.4  # seconds after which a client has given its request up
-HAND_IN = b"POST /api"
-LINGER = 0.5  # seconds for a client to end its side: it does so as it reads our end, or has gone
-MOST_THROWN = 256 * 1024  # bytes thrown away meanwhile: a request has less; a flood is cut off
-MOST_ENDING = 8  # connections past the bound that linger, and that are told so: half of the spare descriptors
-UNHEARD = 1.0  # seconds that a connection past the bound has for its first bytes
-REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-QUIET = logging.getLogger("ryestack.clients")  # bad requests are answered; a traceback of each helps nobody
-QUIET.setLevel(logging.CRITICAL)
+IDLE_TIMEOUT_S = 2.2  # an idle connection may end after 2, and a malformed request must be answered within 3
+QUIET_PERIOD_S = 0.3  # that a connection has received nothing before it is closed at a drain
+BODY_TIMEOUT_S = 2.6  # for a first request from its connection on, for a later one from its head on
+CLIENT_TIMEOUT_S = 0.4  # after which a client has given up its request
+SUBMISSION_PREFIX = b"POST /api"
+LINGER_TIMEOUT_S = 0.5  # for a client to end its side: it does so as it reads the relay's end, or has gone
+MAX_DISCARDED_BYTES = 256 * 1024  # while lingering: a request has less, a flood is cut off
+MAX_LINGERING = 8  # connections beyond the limit, lingering or answered 503: half of the spare descriptors
+FIRST_BYTES_TIMEOUT_S = 1.0  # for the first bytes on a connection beyond the limit
+UNAVAILABLE_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+LOGGER = logging.getLogger("ryestack.clients")  # bad requests are answered: no tracebacks of them
+LOGGER.setLevel(logging.CRITICAL)
 
 
-class Ending:
-    """A transport that is half-closed first. thrown: counts what comes until its end."""
+class LingeringClose:
+    """Half-closes a transport, and aborts it after LINGER_TIMEOUT_S. discarded: bytes received since."""
 
     def __init__(self, transport: asyncio.Transport, loop):
-        self.transport, self.thrown = transport, 0
-        self.timer = loop.call_later(LINGER, transport.abort)
+        self.transport, self.discarded = transport, 0
+        self.timer = loop.call_later(LINGER_TIMEOUT_S, transport.abort)
         try:
             transport.write_eof()
             transport.resume_reading()
-        except (OSError, RuntimeError):  # it is gone already
+        except (OSError, RuntimeError):  # the connection is closed already
             transport.abort()
 
-    def throw_away(self, data: bytes) -> None:
-        self.thrown += len(data)
-        if self.thrown > MOST_THROWN:
+    def discard(self, data: bytes) -> None:
+        """Count bytes that the client still sends; abort the connection if there are too many."""
+        self.discarded += len(data)
+        if self.discarded > MAX_DISCARDED_BYTES:
             self.transport.abort()
 
 
-class HalfClosing:
-    """What the library takes for its transport: all of it, but its close is ours."""
+class HalfClosingTransport:
+    """Passed to the library as its transport; only its close is replaced."""
 
     def __init__(self, transport: asyncio.Transport, close):
         self.transport, self.close = transport, close
@@ -59,158 +60,181 @@
 
 
 class ClientConnection(web.RequestHandler):
-    """One client's connection. What cannot be read ends it with an error, behind the answers to all requests
-    that were read before it."""
+    """One client's connection. Bytes that cannot be parsed end it with an error, behind the answers to all
+    requests that were read before them.
 
-    def __init__(self, manager, *, loop, **more):
-        super().__init__(manager, loop=loop, **more)
-        self.since = self.heard_at = self.came_at = loop.time()  # came_at: when its last bytes got here
-        self.spoilt, self.ending, self.raw_transport = False, None, None  # whole: the transport itself
-        self.why = CloseReason.CLIENT
+    read_at: when its last bytes were read. received_at: when the kernel received them. unparsable: whether
+    bytes could not be parsed. raw_transport: the transport without the replaced close.
+    """
+
+    def __init__(self, manager, *, loop, **options):
+        super().__init__(manager, loop=loop, **options)
+        self.opened_at = self.read_at = self.received_at = loop.time()
+        self.unparsable, self.ending, self.raw_transport = False, None, None
+        self.close_reason = CloseReason.CLIENT
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         super().connection_made(transport)
-        self.raw_transport, self.transport = transport, HalfClosing(transport, self.end)
+        self.raw_transport, self.transport = transport, HalfClosingTransport(transport, self.half_close)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if self.ending:
             self.ending.timer.cancel()
         if self._manager is not None:
-            self._manager.closed_connections[self.why] += 1
+            self._manager.closed_connections[self.close_reason] += 1
         if detailed():
-            event("client.closed", why=self.why.value, requests=self._request_count)
+            event("client.closed", why=self.close_reason.value, requests=self._request_count)
         super().connection_lost(exc)
 
     def has_read_more(self) -> bool:
         """Whether requests that were read wait behind the open one."""
         return any(hasattr(message, "headers") for message, _ in self._messages)
 
-    def end_with_reason(self, why: CloseReason) -> None:
-        """The one way in which we end it."""
-        if self.why is CloseReason.CLIENT:
-            self.why = why
+    def end_with_reason(self, reason: CloseReason) -> None:
+        """End the connection; a reason that was given before stays."""
+        if self.close_reason is CloseReason.CLIENT:
+            self.close_reason = reason
         self.force_close()
 
-    def is_owed_an_answer(self) -> bool:
-        """Whether a request was read that has no answer: then it may not be closed."""
+    def has_unanswered_request(self) -> bool:
+        """Whether a request was read that has no answer: then the connection must not be closed."""
         return self._current_request is not None or self.has_read_more()
 
-    def end(self) -> None:
-        """Nothing that is read from here on is taken on."""
-        if self.why is CloseReason.CLIENT:
-            self.why = CloseReason.AFTER_LAST_ANSWER
-        if self.is_owed_an_answer() and not self.raw_transport.is_closing():
+    def half_close(self) -> None:
+        """Close the connection for the library; nothing that is read from here on is accepted."""
+        if self.close_reason is CloseReason.CLIENT:
+            self.close_reason = CloseReason.AFTER_LAST_ANSWER
+        if self.has_unanswered_request() and not self.raw_transport.is_closing():
             self._manager.on_unanswered_close()
         self._force_close = True
         if self.ending is None and not self.raw_transport.is_closing():
-            self.ending = Ending(self.raw_transport, self._loop)
-            self._manager.ending[self] = None
+            self.ending = LingeringClose(self.raw_transport, self._loop)
+            self._manager.lingering[self] = None
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
-            self.ending.throw_away(data)
+            self.ending.discard(data)
             return
-        if self.spoilt:
+        if self.unparsable:
             return
-        self.heard_at = self._loop.time()
-        self.came_at = self.heard_at - waited(self.raw_transport)
-        if self.given_up(data):
-            event("front.stale", waited=round(self.heard_at - self.came_at, 3))
-            self.raw_transport.write(REFUSED)
+        self.read_at = self._loop.time()
+        self.received_at = self.read_at - seconds_since_received(self.raw_transport)
+        if self.is_stale(data):
+            event("front.stale", waited=round(self.read_at - self.received_at, 3))
+            self.raw_transport.write(UNAVAILABLE_RESPONSE)
             self.end_with_reason(CloseReason.STALE_REQUEST)
             return
         super().data_received(data)
         if self._messages and not hasattr(self._messages[-1][0], "headers"):  # the parser's own error
-            self.spoilt = True  # requests before it are answered, then the error, then the connection ends
+            self.unparsable = True  # earlier requests are answered, then the error, then it ends
             if self.transport is not None:
                 self.transport.pause_reading()
 
-    def given_up(self, data: bytes) -> bool:
-        """Whether a hand-in begins whose client has gone: under overload all work would be for such."""
-        return self.heard_at > self.came_at + GONE and data.startswith(HAND_IN) and self.idle()
+    def is_stale(self, data: bytes) -> bool:
+        """Whether a submission begins whose client has given up: under overload all work would be for
+        such."""
+        return (
+            self.read_at > self.received_at + CLIENT_TIMEOUT_S
+            and data.startswith(SUBMISSION_PREFIX)
+            and self.idle()
+        )
 
     def _process_keepalive(self) -> None:
-        """The library's end of an idle connection: not over a request that has come and is not read yet."""
-        if self.ending is None and self.idle() and self.transport is not None and unread(self.raw_transport):
+        """The library's end of an idle connection; put off while a request has been received and is
+        unread."""
+        if (
+            self.ending is None
+            and self.idle()
+            and self.transport is not None
+            and has_unread(self.raw_transport)
+        ):
             self._keepalive_handle = self._loop.call_soon(self._process_keepalive)
         else:
             super()._process_keepalive()
-            if self._force_close and self.why is CloseReason.AFTER_LAST_ANSWER:
-                self.why = CloseReason.IDLE_TIMEOUT
+            if self._force_close and self.close_reason is CloseReason.AFTER_LAST_ANSWER:
+                self.close_reason = CloseReason.IDLE_TIMEOUT
 
     def idle(self) -> bool:
-        """Whether it waits for a request of which nothing whole has come."""
-        return self._waiter is not None and not self._waiter.done()  # done: one has come and is not begun
+        """Whether it waits for a request of which no complete head has come."""
+        return (
+            self._waiter is not None and not self._waiter.done()
+        )  # done: a request has come and is not begun
 
-    def ends(self) -> float:
+    def idle_deadline(self) -> float:
         """When it ends if no request comes."""
         return self._next_keepalive_close_time
 
-    def end_if_quiet(self, since: float = QUIET_FOR) -> None:
-        """End it unless it may have a request: one on its way is answered, and ends it then."""
-        if self.transport is None or not self.idle() or self._loop.time() < self.heard_at + since:
+    def close_if_quiet(self, quiet_period: float = QUIET_PERIOD_S) -> None:
+        """End it unless it may have a request: one on its way is answered, and ends the connection then."""
+        if self.transport is None or not self.idle() or self._loop.time() < self.read_at + quiet_period:
             return
-        if not unread(self.raw_transport):
+        if not has_unread(self.raw_transport):
             self.end_with_reason(CloseReason.SHUTDOWN_OR_DRAIN)
 
-    def until(self, now: float) -> float:
-        """When the open request must have come whole."""
-        return (self.since if self._request_count == 1 else now) + BODY
+    def body_deadline(self, now: float) -> float:
+        """When the open request must be complete."""
+        return (self.opened_at if self._request_count == 1 else now) + BODY_TIMEOUT_S
 
 
 class ConnectionServer(web.Server):
-    """The library's server, with connections of our own."""
+    """The library's server, with ClientConnection for its connections.
+
+    lingering: half-closed connections, oldest first. closed_connections: ended ones, by reason.
+    on_unanswered_close: called where a connection is ended while a request that was read has no answer.
+    """
 
-    def __init__(self, *args, **more):
-        super().__init__(*args, **more)
-        self.ending: dict[ClientConnection, None] = {}  # half-closed, the oldest first
+    def __init__(self, *args, **options):
+        super().__init__(*args, **options)
+        self.lingering: dict[ClientConnection, None] = {}
         self.closed_connections: Counter[CloseReason] = Counter()
-        self.on_unanswered_close = lambda: None  # told where one is ended over a request that was read
+        self.on_unanswered_close = lambda: None
 
     def __call__(self) -> ClientConnection:
         return ClientConnection(self, loop=self._loop, **self._kwargs)
 
     def connection_lost(self, handler, exc: BaseException | None = None) -> None:
-        self.ending.pop(handler, None)
+        self.lingering.pop(handler, None)
         super().connection_lost(handler, exc)
 
-    def full(self, most: int) -> bool:
-        """Whether as many are open as may be; those that linger count apart, up to their own bound."""
-        lingering = len(self._connections) - most - MOST_ENDING
-        for connection in list(self.ending)[: max(0, lingering + 1)]:
+    def full(self, max_connections: int) -> bool:
+        """Whether max_connections are open; those that linger count apart, and the oldest beyond
+        MAX_LINGERING are aborted."""
+        excess = len(self._connections) - max_connections - MAX_LINGERING
+        for connection in list(self.lingering)[: max(0, excess + 1)]:
             connection.raw_transport.abort()
-        return len(self._connections) - len(self.ending) >= most
+        return len(self._connections) - len(self.lingering) >= max_connections
 
     def longest_idle(self) -> ClientConnection | None:
-        """The connection that makes room for another: none whose request has come and is not read yet."""
-        idle = sorted(filter(ClientConnection.idle, self._connections), key=ClientConnection.ends)
-        return next((c for c in idle if not unread(c.raw_transport)), None)
+        """The connection to evict for a new one; none that has received a request which is not read yet."""
+        idle = sorted(filter(ClientConnection.idle, self._connections), key=ClientConnection.idle_deadline)
+        return next((c for c in idle if not has_unread(c.raw_transport)), None)
 
 
-class Full(asyncio.Protocol):
-    """Meets a connection past the bound: its request is answered 503 unread, a few at a time; the others are
-    closed. The answer waits for the first bytes: before them a client would take it for a mistake."""
+class RefusedConnection(asyncio.Protocol):
+    """A connection beyond the limit: its request is answered 503 unread, up to MAX_LINGERING at a time; more
+    are closed at once. The answer waits for the first bytes: a client takes an earlier one for a protocol
+    error."""
 
-    there: set["Full"] = set()
+    active: set["RefusedConnection"] = set()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport, self.ending = transport, None
-        if len(self.there) >= MOST_ENDING:
+        if len(self.active) >= MAX_LINGERING:
             transport.close()
             return
-        self.there.add(self)
-        self.timer = asyncio.get_running_loop().call_later(UNHEARD, transport.abort)
+        self.active.add(self)
+        self.timer = asyncio.get_running_loop().call_later(FIRST_BYTES_TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
-            self.ending.throw_away(data)
+            self.ending.discard(data)
             return
-        self.transport.write(REFUSED)
-        self.ending = Ending(self.transport, asyncio.get_running_loop())
+        self.transport.write(UNAVAILABLE_RESPONSE)
+        self.ending = LingeringClose(self.transport, asyncio.get_running_loop())
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        if self in self.there:
-            self.there.discard(self)
+        if self in self.active:
+            self.active.discard(self)
             self.timer.cancel()
         if self.ending:
             self.ending.timer.cancel()
--- a/ryestack/wire/files.py
+++ b/ryestack/wire/files.py
@@ -1,17 +1,18 @@
-"""Final answers into a file, for installations without the platform: a line each, synced before it counts."""
+"""Writes final answers to a file, for installations without the platform: one line each, synced before it
+counts."""
 
 import asyncio
 import os
 
 from .notice_queue import NoticeQueue
 
-PAUSE = 1.0  # seconds before a file that cannot be written is tried again
+RETRY_DELAY_S = 1.0  # after the file could not be written
 
 
 class FileNotices(NoticeQueue):
-    """Appends JSON lines to path; done(ids) tells the owner what is safely there.
+    """Appends JSON lines to path; done(ids) reports the notices that are safely stored.
 
-    A kill between the sync and the owner's record repeats a line at the next start: readers go by id.
+    A kill between the sync and the owner's record repeats a line at the next start: readers use the id.
     """
 
     def __init__(self, path: str, done):
@@ -20,24 +21,27 @@
 
     async def run(self) -> None:
         while True:
-            await self.more.wait()
-            some = list(self.queue)
+            await self.not_empty.wait()
+            batch = list(self.queue)
             try:
-                self.append("".join(line + "\n" for _, line in some).encode())
-            except OSError as problem:
-                self.tell(False, str(problem))
-                await asyncio.sleep(PAUSE)
+                self.append("".join(line + "\n" for _, line in batch).encode())
+            except OSError as error:
+                self.log_flow(False, str(error))
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self.tell(True)
-            self.arrived(some)
-            self.rest()
+            self.log_flow(True)
+            self.delivered(batch)
+            self.pause_if_empty()
 
     def append(self, data: bytes) -> None:
-        """All of it or an error that leaves the file as it was, so that no line is a part of one."""
+        """Append all of data, or raise OSError and leave the file as it was, so that no line is
+        incomplete."""
         with open(self.path, "a+b", buffering=0) as file:
             size = os.fstat(file.fileno()).st_size
             file.seek(max(0, size - 1))
-            if size and file.read(1) != b"\n":  # a kill cut a line short: it must not swallow the next
+            if (
+                size and file.read(1) != b"\n"
+            ):  # a kill cut the last line short: keep the next one apart from it
                 data = b"\n" + data
             try:
                 if file.write(data) != len(data):
--- a/ryestack/wire/hand_in.py
+++ b/ryestack/wire/hand_in.py
@@ -1,49 +1,54 @@
-"""Reads a hand-in: its headers as the platform's protocol has them, made a notification."""
+"""Reads a submission: turns the headers of the platform's protocol into a notification."""
 
-from .. import interface as it
+from .. import interface
 from . import forms
 
 
 class NotServed(Exception):
-    """A destination that this relay does not serve, though another may."""
+    """The destination is not served by this relay, though another relay may serve it."""
 
 
 class SubmissionReader:
-    """terms: of(topic type, now) -> its terms and number of pushes, or None; customers: names, () for any."""
+    """Reads the headers of submissions.
+
+    terms: of(topic type, now) -> its terms and number of pushes, or None. customers: the known names; if
+    empty, any name is accepted.
+    """
 
     def __init__(self, terms, members, clock):
         self.terms, self.members, self.clock = terms, members, clock
         self.customers: set[str] = set()
 
-    def read(self, headers, came_at: float) -> tuple[it.Notification, str]:
+    def read(self, headers, received_at: float) -> tuple[interface.Notification, str]:
         """The notification and its idempotency key; raises BadForm or NotServed.
 
-        came_at: when its last byte got here, from which its time runs, however late it is read.
+        received_at: when its last byte was received; its time runs from there, however late it is read.
         """
         now = self.clock()
-        name = forms.token(headers.get("X-Request-Id", ""), "X-Request-Id")
-        topic, most = self.terms.of(headers.get("X-Class", ""), now)
+        name = forms.check_token(headers.get("X-Request-Id", ""), "X-Request-Id")
+        topic, max_pushes = self.terms.of(headers.get("X-Class", ""), now)
         if topic is None:
             raise forms.BadForm("X-Class names no topic type")
         customer = headers.get("X-Tenant", "")
         if self.customers and customer not in self.customers:
             raise forms.BadForm("X-Tenant names no customer")
-        span = forms.seconds(headers.get("X-Deadline", ""))
-        destination = forms.destination(headers.get("X-Envelope", ""))
+        ttl = forms.parse_duration(headers.get("X-Deadline", ""))
+        destination = forms.parse_destination(headers.get("X-Envelope", ""))
         if not self.members.has(destination):
-            wrong = NotServed if self.members.scoped else forms.BadForm
-            raise wrong(f"no destination {destination}")
-        key = self.key_of(headers, topic)
+            error = NotServed if self.members.scoped else forms.BadForm
+            raise error(f"no destination {destination}")
+        key = self.idempotency_key(headers, topic)
         order_key = headers.get("X-Key", "")
         if order_key:
-            forms.token(order_key, "X-Key")
-        told = {"terms": topic, "most": most, "late": max(0.0, now - came_at)}
-        head = name, came_at + span, destination, topic.name, customer, order_key
-        return it.Notification(*head, **told), key
+            forms.check_token(order_key, "X-Key")
+        details = {"terms": topic, "most": max_pushes, "late": max(0.0, now - received_at)}
+        required = name, received_at + ttl, destination, topic.name, customer, order_key
+        return interface.Notification(*required, **details), key
 
     @staticmethod
-    def key_of(headers, topic: it.TopicType) -> str:
+    def idempotency_key(headers, topic: interface.TopicType) -> str:
+        """The idempotency key, "" if none; raises BadForm. A collapsible topic type requires one."""
         key = headers.get("Idempotency-Key", "")
-        if key or topic.effect is it.Effect.COLLAPSIBLE:
-            forms.token(key, "Idempotency-Key")
+        if key or topic.effect is interface.Effect.COLLAPSIBLE:
+            forms.check_token(key, "Idempotency-Key")
         return key
--- a/ryestack/wire/members.py
+++ b/ryestack/wire/members.py
@@ -1,4 +1,4 @@
-"""The registry's list: its JSON form, where each endpoint is reached, and the watch that follows it."""
+"""The registry's list of endpoints: its JSON format, the addresses in it, and the watch that follows it."""
 
 import asyncio
 import json
@@ -9,79 +9,93 @@
 
 import aiohttp
 
-from .. import interface as it
-from ..membership.following import Following
+from .. import interface
+from ..membership.following import WatchState
 from ..observe.log import event
 from .platform import PlatformClient
 
-LISTED = {"up": it.Listed.READY, "draining": it.Listed.DRAINING, "removed": it.Listed.GONE}
-BARE = 60.0  # a destination without endpoints is one we know for so long
-PAUSE = 0.1  # between calls at least, if answers or failures come at once; a watch goes on within 200 ms
-FIRST = 0.3  # seconds for the first word at a start: an agent beside us answers at once, or is down
-INVALID_VALUE_ERRORS = (
-    KeyError,
-    TypeError,
-    ValueError,
-    ArithmeticError,
-)  # what a value of the wrong kind raises
+LISTED_BY_STATUS = {
+    "up": interface.Listed.READY,
+    "draining": interface.Listed.DRAINING,
+    "removed": interface.Listed.GONE,
+}
+EMPTY_DESTINATION_TTL_S = 60.0  # that a destination without endpoints stays known
+MIN_REQUEST_INTERVAL_S = 0.1  # where answers or failures come at once; a watch continues within 200 ms
+INITIAL_FETCH_TIMEOUT_S = 0.3  # at a start: an agent on the same machine answers at once, or is down
+# Raised by a value of the wrong type.
+INVALID_VALUE_ERRORS = (KeyError, TypeError, ValueError, ArithmeticError)
 
 
 class BadList(Exception):
     """A list that cannot be read."""
 
 
-UNHEARD = (aiohttp.ClientError, OSError, TimeoutError, ValueError, RecursionError, BadList)
+REQUEST_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError, RecursionError, BadList)
 
 
-def read_list(told: dict, known: dict[str, dict]) -> tuple[int, it.ListUpdate, dict[str, dict]]:
-    """The version, what the decisions are told, and the rows by name.
+def read_list(message: dict, known: dict[str, dict]) -> tuple[int, interface.ListUpdate, dict[str, dict]]:
+    """The version, the update for the decision module, and the rows by name; raises BadList.
 
-    A row may leave out what is known; one that cannot be read is passed over, so that it hides no other.
+    A row may leave out fields that are known; one that cannot be read is skipped, so that the others still
+    count.
     """
     rows, endpoints = {}, []
     try:
-        index, whole, entries = int(told["index"]), told["snapshot"] is True, list(told["endpoints"])
-    except INVALID_VALUE_ERRORS as problem:
-        raise BadList(f"{type(problem).__name__}: {problem}") from None
+        index, complete, entries = (
+            int(message["index"]),
+            message["snapshot"] is True,
+            list(message["endpoints"]),
+        )
+    except INVALID_VALUE_ERRORS as error:
+        raise BadList(f"{type(error).__name__}: {error}") from None
     for entry in entries:
         try:
             row = {**known.get(entry["name"], {}), **entry}
             if row["status"] == "removed" and entry["name"] not in known:
-                continue  # never here, or gone before
+                continue  # never listed, or removed before
             endpoints.append(read_row(row))
             rows[row["name"]] = row
-        except INVALID_VALUE_ERRORS as problem:
-            event("list.row_bad", version=index, why=repr(problem))
-    return index, it.ListUpdate(tuple(endpoints), whole=whole), rows
+        except INVALID_VALUE_ERRORS as error:
+            event("list.row_bad", version=index, why=repr(error))
+    return index, interface.ListUpdate(tuple(endpoints), whole=complete), rows
 
 
-def read_row(row: dict) -> it.Endpoint:
+def read_row(row: dict) -> interface.Endpoint:
+    """The endpoint of a row; raises one of INVALID_VALUE_ERRORS."""
     name, zone, kind = str(row["name"]), str(row["zone"]), str(row["type"])
-    listed = LISTED.get(row["status"], it.Listed.DRAINING)  # a word we do not know: nothing new goes there
+    listed = LISTED_BY_STATUS.get(
+        row["status"], interface.Listed.DRAINING
+    )  # unknown status: nothing new goes there
     if not row["address"]:
         raise ValueError("no address")
     weight = float(row.get("weight", 1.0))
     if not isfinite(weight):
         raise ValueError("the weight is no number")
-    return it.Endpoint(name, zone, kind, int(row["group"]), listed, weight)
+    return interface.Endpoint(name, zone, kind, int(row["group"]), listed, weight)
 
 
 class Members:
-    """Where endpoints are reached, of what kind they are, as last told, and which destinations there are.
+    """The rows of the list in force: the address and kind of each endpoint, and which destinations there are.
 
-    scoped: whether other relays may serve destinations that are not listed here.
+    scoped: whether other relays may serve destinations that are not listed here. index: the list's version.
+    removed: names of the rows with status removed. endpoint_counts: the number of rows of each destination,
+    removed ones included; never 0. emptied_at: when a destination last lost an endpoint, oldest first.
     """
 
     scoped = False
 
     def __init__(self, clock=time.monotonic):
         self.index, self.rows, self.clock = 0, {}, clock
-        self.removed: set[str] = set()  # names of rows that stand as removed
-        self.endpoints: Counter[int] = Counter()  # destination -> its rows, removed ones too; never 0
-        self.bare: dict[int, float] = {}  # destinations that lost an endpoint, since when; oldest first
+        self.removed: set[str] = set()
+        self.endpoint_counts: Counter[int] = Counter()
+        self.emptied_at: dict[int, float] = {}
 
-    def apply_list(self, told: dict) -> it.ListUpdate:
-        self.index, update, rows = read_list(told, self.rows)
+    def apply_list(self, message: dict) -> interface.ListUpdate:
+        """Put the registry's list, or a change to it, in force; raises BadList.
+
+        Rows that a whole list leaves out stay, with status removed, until drop_removed.
+        """
+        self.index, update, rows = read_list(message, self.rows)
         for name in set(self.rows) - set(rows) if update.whole else ():
             rows[name] = {**self.rows[name], "status": "removed"}
         for name, row in rows.items():
@@ -89,125 +103,137 @@
         return update
 
     def put(self, name: str, row: dict) -> None:
+        """Add or replace a row."""
         if name in self.rows:
-            self.uncount(self.rows[name])
+            self.decrement_count(self.rows[name])
         self.rows[name] = row
-        self.endpoints[int(row["group"])] += 1
+        self.endpoint_counts[int(row["group"])] += 1
         if row["status"] == "removed":
             self.removed.add(name)
         else:
             self.removed.discard(name)
 
-    def uncount(self, row: dict) -> int:
-        """One endpoint less of that row's destination; returns the destination."""
+    def decrement_count(self, row: dict) -> int:
+        """Count one endpoint less for the row's destination; returns the destination."""
         destination = int(row["group"])
-        self.endpoints[destination] -= 1
-        if not self.endpoints[destination]:
-            del self.endpoints[destination]
+        self.endpoint_counts[destination] -= 1
+        if not self.endpoint_counts[destination]:
+            del self.endpoint_counts[destination]
         return destination
 
     def drop_removed(self) -> set[str]:
-        """Drop the rows that stand as removed, once the decisions know of it; returns their names."""
-        gone, self.removed = self.removed, set()
-        for name in gone:
-            destination = self.uncount(self.rows.pop(name))
-            self.bare.pop(destination, None)  # it goes to the end: the oldest stay first
-            self.bare[destination] = self.clock()
-        return gone
+        """Drop the rows with status removed, once the decision module has received that; returns their
+        names."""
+        names, self.removed = self.removed, set()
+        for name in names:
+            destination = self.decrement_count(self.rows.pop(name))
+            self.emptied_at.pop(destination, None)  # reinserted at the end: oldest first
+            self.emptied_at[destination] = self.clock()
+        return names
 
     def has(self, destination: int) -> bool:
-        """A destination outlives its endpoints for a while: they are replaced one by one, or all at once."""
-        while self.bare and next(iter(self.bare.values())) + BARE <= self.clock():
-            del self.bare[next(iter(self.bare))]
-        return destination in self.bare or destination in self.endpoints
+        """Whether the destination is known. It outlives its endpoints for a while: they may be replaced all
+        at once."""
+        while (
+            self.emptied_at and next(iter(self.emptied_at.values())) + EMPTY_DESTINATION_TTL_S <= self.clock()
+        ):
+            del self.emptied_at[next(iter(self.emptied_at))]
+        return destination in self.emptied_at or destination in self.endpoint_counts
 
     def listed_names(self) -> list[str]:
+        """The names of the endpoints that are not removed."""
         return [name for name, row in self.rows.items() if row["status"] != "removed"]
 
     def address(self, endpoint: str) -> str | None:
+        """The address of an endpoint, None if it is unknown."""
         return self.rows[endpoint]["address"] if endpoint in self.rows else None
 
     def kind(self, endpoint: str) -> str | None:
+        """The kind of an endpoint, None if it is unknown."""
         return self.rows[endpoint]["type"] if endpoint in self.rows else None
 
 
 class RegistryDirectory:
-    """The platform's registry as a Directory: its list, and the watch that follows it."""
+    """A Directory that follows the list of the platform's registry. known: the list of the configuration."""
 
     def __init__(self, platform: PlatformClient, known: dict):
         self.platform, self.members = platform, Members()
-        self.first = self.members.apply_list(known)
+        self.initial_update = self.members.apply_list(known)
 
-    def initial_list(self) -> it.ListUpdate:
-        return self.first
+    def initial_list(self) -> interface.ListUpdate:
+        return self.initial_update
 
-    async def fetch_initial(self) -> list[it.ListUpdate]:
-        """What the registry has now, if it says so at once: it counts from the first moment of a process."""
+    async def fetch_initial(self) -> list[interface.ListUpdate]:
+        """The registry's current list, if it answers at once: it is in force before the first push of a
+        process."""
         try:
             query = {"from": str(self.members.index), "hold_ms": "0"}
-            status, body = await self.platform.ask("GET", "/catalog/members", FIRST, params=query)
+            status, body = await self.platform.request(
+                "GET", "/catalog/members", INITIAL_FETCH_TIMEOUT_S, params=query
+            )
             return [self.members.apply_list(json.loads(body))] if status == 200 else []
-        except UNHEARD:
+        except REQUEST_ERRORS:
             return []
 
-    async def run(self, tell) -> None:
-        await watch(self.platform, self.members, lambda update: tell([update]))
+    async def run(self, publish) -> None:
+        await watch(self.platform, self.members, lambda update: publish([update]))
 
     def refresh(self) -> None:
-        self.platform.asked.set()
+        self.platform.refresh_requested.set()
 
 
 class FixedDirectory(RegistryDirectory):
-    """The list that the configuration knew, for good: nothing is asked."""
+    """A Directory with the list of the configuration, which never changes: nothing is requested."""
 
-    async def fetch_initial(self) -> list[it.ListUpdate]:
+    async def fetch_initial(self) -> list[interface.ListUpdate]:
         return []
 
     def refresh(self) -> None:
         pass
 
-    async def run(self, tell) -> None:
+    async def run(self, publish) -> None:
         await asyncio.Event().wait()
 
 
-async def watch(platform: PlatformClient, members: Members, tell) -> None:
-    """Follow the list for as long as the process lives; a silent registry leaves the old one in force.
+async def watch(platform: PlatformClient, members: Members, publish) -> None:
+    """Follow the list as long as the process lives; a silent registry leaves the last list in force.
 
-    An asking that fails is told, with the time of the registry's last word; when to ask again is decided
-    elsewhere (`platform.asked`): relays that all ask a full registry ten times a second keep it full. At a
-    new address it starts with the whole list: versions there need not go on from the old ones.
+    A failed request is published, with the time of the registry's last answer. When to request again is
+    decided elsewhere (`platform.refresh_requested`): relays that all ask an overloaded registry ten times a
+    second keep it overloaded. At a new address the watch starts with the whole list: versions there need not
+    continue the old ones.
     """
     clock = asyncio.get_running_loop().time
-    address, well, following = platform.address, True, Following(clock())
+    address, healthy, state = platform.address, True, WatchState(clock())
     while True:
-        began, asked = clock(), platform.address
-        if address != asked:
-            following.heard("moved", began)
-        query = {"from": str(members.index), "hold_ms": str(int(following.hold() * 1000))}
+        began, requested = clock(), platform.address
+        if address != requested:
+            state.update("moved", began)
+        query = {"from": str(members.index), "hold_ms": str(int(state.hold() * 1000))}
         try:
-            status, body = await platform.ask(
-                "GET", "/catalog/members", following.limit(), params=query if address == asked else {}
+            status, body = await platform.request(
+                "GET", "/catalog/members", state.timeout(), params=query if address == requested else {}
             )
             if status != 200:
                 raise BadList(f"status {status}")
-            update, address = members.apply_list(json.loads(body)), asked
-            if update.endpoints or update.whole or not well:
-                told = {"entries": len(update.endpoints), "whole": update.whole}
-                event("list.changed", version=members.index, **told)
-                tell(update)
-            if not well:
+            update, address = members.apply_list(json.loads(body)), requested
+            if update.endpoints or update.whole or not healthy:
+                details = {"entries": len(update.endpoints), "whole": update.whole}
+                event("list.changed", version=members.index, **details)
+                publish(update)
+            if not healthy:
                 event("list.flowing")
-            well = True
-            following.heard("told", began)
-        except UNHEARD as problem:
-            following.heard("failed", clock())
-            if well and asked == platform.address:
-                event("list.blocked", why=repr(problem))
-                well = False
-            if asked == platform.address:
-                platform.asked.clear()
-                tell(it.ListUpdate(failed=True, sure_at=following.sure_at))
-                with suppress(TimeoutError):  # whatever the decisions say, the clock is met
-                    async with asyncio.timeout(following.rest):
-                        await platform.asked.wait()
-        await asyncio.sleep(began + PAUSE - clock())
+            healthy = True
+            state.update("told", began)
+        except REQUEST_ERRORS as error:
+            state.update("failed", clock())
+            if healthy and requested == platform.address:
+                event("list.blocked", why=repr(error))
+                healthy = False
+            if requested == platform.address:
+                platform.refresh_requested.clear()
+                publish(interface.ListUpdate(failed=True, sure_at=state.confirmed_at))
+                with suppress(TimeoutError):  # the list's maximum age holds whatever the decision module says
+                    async with asyncio.timeout(state.max_retry_delay):
+                        await platform.refresh_requested.wait()
+        await asyncio.sleep(began + MIN_REQUEST_INTERVAL_S - clock())
--- a/ryestack/wire/notice_queue.py
+++ b/ryestack/wire/notice_queue.py
@@ -1,4 +1,4 @@
-"""Final answers that wait to be taken, in order: what each kind of sink for them shares."""
+"""A queue of final answers that wait to be delivered, common to all kinds of sink."""
 
 import asyncio
 import json
@@ -8,33 +8,38 @@
 
 
 class NoticeQueue:
-    """done(ids) tells the owner which notices have arrived for good."""
+    """Notices in order; done(ids) tells the owner which have been delivered for good.
+
+    queue: the id and the line of JSON of each. not_empty: set while notices wait.
+    """
 
     def __init__(self, done):
         self.done = done
-        self.queue: deque[tuple[str, str]] = deque()  # id and line of JSON
-        self.more, self.flowing = asyncio.Event(), True
+        self.queue: deque[tuple[str, str]] = deque()
+        self.not_empty, self.flowing = asyncio.Event(), True
 
-    def add(self, name: str, notice: dict) -> None:
-        self.queue.append((name, json.dumps({"id": name, **notice}, separators=(",", ":"))))
-        self.more.set()
+    def add(self, notification_id: str, notice: dict) -> None:
+        self.queue.append(
+            (notification_id, json.dumps({"id": notification_id, **notice}, separators=(",", ":")))
+        )
+        self.not_empty.set()
 
     def pending_count(self) -> int:
         return len(self.queue)
 
-    def arrived(self, some: list[tuple[str, str]]) -> None:
-        """The first of the queue have been taken."""
-        for _ in some:
+    def delivered(self, batch: list[tuple[str, str]]) -> None:
+        """Remove a batch, which is the head of the queue, and report its ids."""
+        for _ in batch:
             self.queue.popleft()
-        self.done([name for name, _ in some])
+        self.done([name for name, _ in batch])
 
-    def rest(self) -> None:
-        """Until more is added, where nothing waits."""
+    def pause_if_empty(self) -> None:
+        """Clear not_empty, so that the sink waits for the next notice, if none is left."""
         if not self.queue:
-            self.more.clear()
+            self.not_empty.clear()
 
-    def tell(self, flows: bool, why: str = "") -> None:
-        """To the log, when notices cease to be taken and when they are taken again."""
-        if flows != self.flowing:
-            self.flowing = flows
-            event("ends.flowing") if flows else event("ends.blocked", why=why)
+    def log_flow(self, flowing: bool, why: str = "") -> None:
+        """Log when the sink stops taking notices, and when it takes them again."""
+        if flowing != self.flowing:
+            self.flowing = flowing
+            event("ends.flowing") if flowing else event("ends.blocked", why=why)
--- a/ryestack/wire/notices.py
+++ b/ryestack/wire/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: the ends of messages that were taken on and not delivered, sent until 204."""
+"""Sends notices to the platform: final answers for notifications that were accepted and not delivered."""
 
 import asyncio
 
@@ -7,38 +7,39 @@
 from .notice_queue import NoticeQueue
 from .platform import PlatformClient
 
-LINES = 200  # in one post
-PAUSE = 0.1  # seconds before the next try; the platform answers at once
-LIMIT = 2.0  # seconds for a post
+MAX_LINES_PER_POST = 200
+RETRY_DELAY_S = 0.1  # the platform answers at once
+POST_TIMEOUT_S = 2.0
 
 
 class PlatformNotices(NoticeQueue):
-    """Sends what is owed in order; done(ids) tells the owner what the platform has."""
+    """Sends notices in order, each until the platform answers 204; done(ids) reports those that it has."""
 
     def __init__(self, platform: PlatformClient, done):
         super().__init__(done)
         self.platform = platform
 
     async def run(self) -> None:
-        most = LINES
+        max_lines = MAX_LINES_PER_POST
         while True:
-            await self.more.wait()
-            some = [self.queue[i] for i in range(min(most, len(self.queue)))]
-            status = await self.post("\n".join(line for _, line in some) + "\n")
+            await self.not_empty.wait()
+            batch = [self.queue[i] for i in range(min(max_lines, len(self.queue)))]
+            status = await self.post("\n".join(line for _, line in batch) + "\n")
             if status == 204:
-                self.arrived(some)
-                most = LINES
-            else:  # one that cannot be read must not hold up the others
-                most = 1
-                self.queue.rotate(-len(some) if len(some) == 1 else 0)
-                await asyncio.sleep(PAUSE)
-            self.rest()
+                self.delivered(batch)
+                max_lines = MAX_LINES_PER_POST
+            else:  # sent one by one, so that a notice that cannot be read does not block the others
+                max_lines = 1
+                self.queue.rotate(-len(batch) if len(batch) == 1 else 0)
+                await asyncio.sleep(RETRY_DELAY_S)
+            self.pause_if_empty()
 
     async def post(self, body: str) -> int:
+        """Post lines of notices; returns the status, 0 if there was no answer."""
         try:
-            status, _ = await self.platform.ask("POST", "/status", LIMIT, data=body.encode())
+            status, _ = await self.platform.request("POST", "/status", POST_TIMEOUT_S, data=body.encode())
             why = f"status {status}"
-        except (aiohttp.ClientError, OSError, TimeoutError) as problem:
-            status, why = 0, repr(problem)
-        self.tell(status == 204, why)
+        except (aiohttp.ClientError, OSError, TimeoutError) as error:
+            status, why = 0, repr(error)
+        self.log_flow(status == 204, why)
         return status
--- a/ryestack/wire/platform.py
+++ b/ryestack/wire/platform.py
@@ -1,45 +1,51 @@
-"""Where the registry and the platform are reached: one address, which may move while the relay serves."""
+"""A client for the registry and the platform: one address, which may change while the relay serves."""
 
 import asyncio
 
 import aiohttp
 
-MOST = 4 * 1024 * 1024  # bytes of an answer: a list of thousands of endpoints
+MAX_ANSWER_BYTES = 4 * 1024 * 1024  # room for a list of thousands of endpoints
 
 
 class PlatformClient:
-    """Asks at the address in force; a move breaks off what is open at the old one, and it is asked anew."""
+    """Sends requests to the address in force.
+
+    A move to another address aborts the requests in flight at the old one; their callers repeat them.
+    refresh_requested: set when the list is wanted now, by a decision or because of a new address.
+    """
 
     def __init__(self, address: str):
         self.session = aiohttp.ClientSession(cookie_jar=aiohttp.DummyCookieJar())
-        self.address, self.limits = address, set()
-        self.asked = asyncio.Event()  # the list is wanted now: as decided, or at a new address
+        self.address, self.timeouts = address, set()
+        self.refresh_requested = asyncio.Event()
 
     def move(self, address: str) -> bool:
-        """Whether it is another address than before."""
+        """Use that address from now on; returns whether it differs from the one before."""
         if address == self.address:
             return False
         self.address = address
-        self.asked.set()
-        for limit in self.limits:
-            if not limit.expired():
-                limit.reschedule(0.0)
+        self.refresh_requested.set()
+        for timeout in self.timeouts:
+            if not timeout.expired():
+                timeout.reschedule(0.0)
         return True
 
-    async def ask(self, method: str, path: str, seconds: float, **more) -> tuple[int, bytes]:
+    async def request(self, method: str, path: str, timeout_s: float, **options) -> tuple[int, bytes]:
         """Status and body; raises aiohttp.ClientError, OSError or TimeoutError."""
-        async with asyncio.timeout(seconds) as limit:
-            self.limits.add(limit)
+        async with asyncio.timeout(timeout_s) as timeout:
+            self.timeouts.add(timeout)
             try:
-                async with self.session.request(method, f"http://{self.address}{path}", **more) as answer:
+                async with self.session.request(
+                    method, f"http://{self.address}{path}", **options
+                ) as response:
                     body = bytearray()
-                    async for chunk in answer.content.iter_any():
+                    async for chunk in response.content.iter_any():
                         body += chunk
-                        if len(body) > MOST:
-                            raise aiohttp.ClientPayloadError("an answer without bounds")
-                    return answer.status, bytes(body)
+                        if len(body) > MAX_ANSWER_BYTES:
+                            raise aiohttp.ClientPayloadError(f"answer longer than {MAX_ANSWER_BYTES} bytes")
+                    return response.status, bytes(body)
             finally:
-                self.limits.discard(limit)
+                self.timeouts.discard(timeout)
 
     async def close(self) -> None:
         await self.session.close()
--- a/ryestack/wire/sockets.py
+++ b/ryestack/wire/sockets.py
@@ -1,4 +1,4 @@
-"""What a socket says that its transport does not."""
+"""The state of a connection's socket that its transport does not expose."""
 
 import asyncio
 import errno
@@ -8,51 +8,53 @@
 import sys
 from contextlib import suppress
 
-LAST_DATA = slice(52, 56)  # of Linux's tcp_info: milliseconds since the last data came
-UNACKNOWLEDGED = slice(24, 28)  # segments that the other side has not confirmed
-NOT_SENT = slice(144, 148)  # bytes that wait for its window
-# What a connect or a socket lacks on this machine: no sign of the other side.
-OF_THIS_MACHINE = {
+# Fields of Linux's tcp_info, as byte ranges.
+LAST_DATA_RECEIVED_MS = slice(52, 56)  # milliseconds since the last data came
+UNACKNOWLEDGED_SEGMENTS = slice(24, 28)  # sent, and not confirmed by the peer
+NOT_SENT_BYTES = slice(144, 148)  # waiting for the peer's window
+# Errors of a connect or a socket that come from this machine, and tell nothing about the peer.
+LOCAL_ERRORS = {
     errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.ENETUNREACH,
 }  # fmt: skip
-RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close throws away what the system still holds
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close discards what the system still holds
 
 
-def unread(transport: asyncio.Transport) -> bool:
-    """Whether bytes, or an end, wait in the socket."""
+def has_unread(transport: asyncio.Transport) -> bool:
+    """Whether unread bytes, or an unread end of the connection, wait in the socket."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return False
-    waiting = select.poll()
-    waiting.register(sock.fileno(), select.POLLIN)
-    return bool(waiting.poll(0))
+    readable = select.poll()
+    readable.register(sock.fileno(), select.POLLIN)
+    return bool(readable.poll(0))
 
 
-def waited(transport: asyncio.Transport) -> float:
-    """Seconds that the last bytes of a connection have been here, in steps of some milliseconds.
+def seconds_since_received(transport: asyncio.Transport) -> float:
+    """Seconds since the last bytes of a connection were received, in steps of some milliseconds.
 
     0.0 where the kernel does not say.
     """
-    return _number(_tcp_info(transport), LAST_DATA) / 1000.0
+    return _number(_tcp_info(transport), LAST_DATA_RECEIVED_MS) / 1000.0
 
 
-def unconfirmed(transport: asyncio.Transport) -> bool:
-    """Whether the system holds bytes of ours that the other side has not received, as far as it says."""
+def has_unacknowledged(transport: asyncio.Transport) -> bool:
+    """Whether the system holds sent bytes that the peer has not received, as far as the system says."""
     info = _tcp_info(transport)
-    return bool(_number(info, UNACKNOWLEDGED) or _number(info, NOT_SENT))
+    return bool(_number(info, UNACKNOWLEDGED_SEGMENTS) or _number(info, NOT_SENT_BYTES))
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close at once and throw away all that the system holds: it would go on sending it for minutes."""
+    """Close at once and discard all that the system holds: it would go on sending it for minutes."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
-        with suppress(OSError):  # it is closed
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        with suppress(OSError):  # the socket is closed
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     transport.abort()
 
 
-def is_of_this_machine(problem: Exception) -> bool:
-    return isinstance(problem, OSError) and problem.errno in OF_THIS_MACHINE
+def is_local_fault(error: Exception) -> bool:
+    """Whether an error comes from this machine rather than the peer."""
+    return isinstance(error, OSError) and error.errno in LOCAL_ERRORS
 
 
 def _tcp_info(transport: asyncio.Transport) -> bytes:
@@ -61,8 +63,8 @@
     if sock is None or not hasattr(socket, "TCP_INFO"):
         return b""
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, NOT_SENT.stop)
-    except OSError:  # it is closed, or no TCP
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, NOT_SENT_BYTES.stop)
+    except OSError:  # the socket is closed, or not TCP
         return b""
 
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -46,16 +46,16 @@
             sock.connect_ex(late.getsockname())
         at = members(address=f"127.0.0.1:{late.getsockname()[1]}")
         calls = CallDispatcher(settings(), at, loop.time, told.put_nowait, 50)
-        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, begin=0.1)])
+        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, start_timeout=0.1)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
         server, address = await stand_in(lambda *_: http(200))
         at.rows["a"]["address"] = address
-        calls.not_begun = lambda *_: None  # the loop was late: the connection is first
-        calls.start("a", [PushMessage("n", 2, 9.0, "k", b"x", None, begin=-0.1)])
+        calls.end_unless_sent = lambda *_: None  # the loop was late: the connection is first
+        calls.start("a", [PushMessage("n", 2, 9.0, "k", b"x", None, start_timeout=-0.1)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
-        calls.start("a", [PushMessage("n", 3, 9.0, "k", b"x", None, begin=5.0)])
+        calls.start("a", [PushMessage("n", 3, 9.0, "k", b"x", None, start_timeout=5.0)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.DELIVERED, 1))
         await calls.close()
@@ -80,7 +80,7 @@
         calls.cancel_unsent("a")
         [o] = await asyncio.wait_for(told.get(), 1.0)
         self.assertEqual((o.result, calls.written), (Result.NOT_SENT, 0))
-        calls.batch["shared"] = 2  # one whose time is up while its call connects has its end: it must not go
+        calls.batch_sizes["shared"] = 2  # a message whose timeout ends while its call connects is not sent
         calls.start("a", [PushMessage(n, 0, t, "k", b"x", None) for n, t in (("k", 0.1), ("l", 9.0))])
         ends = await asyncio.wait_for(told.get(), 1.0)
         found = [(o.id, o.result, calls.written) for o in ends]
@@ -91,7 +91,7 @@
         await asyncio.sleep(0.1)
         calls.cancel_unsent("a")
         [o] = await asyncio.wait_for(told.get(), 1.0)
-        self.assertEqual((o.result, calls.written, calls.begun), (Result.TIMED_OUT, 1, {}))
+        self.assertEqual((o.result, calls.written, calls.progress), (Result.TIMED_OUT, 1, {}))
         await calls.close()
         for each in (late, server, *filling):
             each.close()
@@ -100,7 +100,7 @@
         loop, told, faults = asyncio.get_running_loop(), asyncio.Queue(), []
         loop.set_exception_handler(lambda _, context: faults.append(context))
         calls = CallDispatcher(settings(), members(address="127.0.0.1:9"), loop.time, told.put_nowait, 50)
-        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, begin=0.05)])
+        calls.start("a", [PushMessage("n", 1, 9.0, "k", b"x", None, start_timeout=0.05)])
         [o] = await asyncio.wait_for(told.get(), 1.0)
         await asyncio.sleep(0.1)
         self.assertEqual((o.result, faults), (Result.NO_CONNECTION, []))
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -8,7 +8,7 @@
 from ryestack.lifecycle.terms import Terms
 from ryestack.ports import Verdict
 from ryestack.wire import client_connection
-from ryestack.wire.client_connection import MOST_ENDING, MOST_THROWN
+from ryestack.wire.client_connection import MAX_DISCARDED_BYTES, MAX_LINGERING
 from ryestack.wire.server import ClientListener
 
 from .helpers import members, settings
@@ -72,13 +72,13 @@
             sock.send(data)
             return False
 
-        return mock.patch.object(client_connection, "unread", look)
+        return mock.patch.object(client_connection, "has_unread", look)
 
 
 class Crossed(Served, unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_crosses_our_end_is_not_taken_on_and_meets_no_reset(self):
         for end in (
-            lambda c: c.end_if_quiet(0.0),
+            lambda c: c.close_if_quiet(0.0),
             lambda c: c.force_close(),
             lambda c: setattr(c, "_next_keepalive_close_time", 0.0) or c._process_keepalive(),
         ):
@@ -86,17 +86,17 @@
             [connection] = self.clients.server.connections
             with self.crossing(sock, WHOLE):
                 end(connection)
-            if not connection.ending.thrown:
+            if not connection.ending.discarded:
                 sock.send(WHOLE)
             self.assertEqual(await self.rest(sock), b"")
-            await self.until(lambda c=connection: c.ending.thrown >= len(WHOLE))
+            await self.until(lambda c=connection: c.ending.discarded >= len(WHOLE))
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
         self.assertEqual(self.got, [])
 
     async def test_a_request_that_has_come_by_then_is_answered(self):
         for end in (
-            lambda c: c.end_if_quiet(0.0),
+            lambda c: c.close_if_quiet(0.0),
             lambda c: setattr(c, "_next_keepalive_close_time", 0.0) or c._process_keepalive(),
         ):
             sock = await self.connect()
@@ -154,7 +154,7 @@
         answers = said.split(b"HTTP/1.1 ")[1:]
         self.assertEqual([answer[:3] for answer in answers], [b"202", b"202"])
         self.assertEqual([b"connection: close" in a.lower() for a in answers], [False, True])
-        await self.until(lambda: connection.ending.thrown)
+        await self.until(lambda: connection.ending.discarded)
         self.assertEqual(self.got, ["n", "m"])
 
     async def test_a_client_that_neither_ends_nor_stops_is_cut_off(self):
@@ -162,10 +162,10 @@
         [connection] = self.clients.server.connections
         connection.force_close()
         with self.assertRaises(ConnectionError):
-            for _ in range(10 * MOST_THROWN // 65536):
+            for _ in range(10 * MAX_DISCARDED_BYTES // 65536):
                 await asyncio.wait_for(self.loop.sock_sendall(sock, b"x" * 65536), 3.0)
                 await asyncio.sleep(0)
-        self.assertLess(connection.ending.thrown, MOST_THROWN + 1024 * 1024)
+        self.assertLess(connection.ending.discarded, MAX_DISCARDED_BYTES + 1024 * 1024)
         silent = await self.connect()
         [connection] = self.clients.server.connections
         connection.force_close()
@@ -178,29 +178,29 @@
         busy = await self.connect()
         busy.send(WHOLE)  # its verdict never comes
         await self.until(lambda: self.got)
-        socks = [socket.create_connection(self.at, timeout=2.0) for _ in range(MOST_ENDING + 2)]
+        socks = [socket.create_connection(self.at, timeout=2.0) for _ in range(MAX_LINGERING + 2)]
         self.open += socks
         for sock in socks:
             sock.setblocking(False)
-        await self.until(lambda: len(client_connection.Full.there) == MOST_ENDING)
-        for sock in socks[MOST_ENDING:]:
+        await self.until(lambda: len(client_connection.RefusedConnection.active) == MAX_LINGERING)
+        for sock in socks[MAX_LINGERING:]:
             self.assertEqual(await self.rest(sock), b"")
-        for sock in socks[:MOST_ENDING]:
+        for sock in socks[:MAX_LINGERING]:
             sock.send(ANOTHER)
-        for sock in socks[:MOST_ENDING]:
+        for sock in socks[:MAX_LINGERING]:
             self.assertEqual((await self.rest(sock))[9:12], b"503")
         for sock in socks:
             sock.close()
-        await self.until(lambda: not client_connection.Full.there)
+        await self.until(lambda: not client_connection.RefusedConnection.active)
         self.assertEqual(self.got, ["n"])
 
     async def test_those_that_linger_are_cut_off_past_their_bound(self):
         self.clients.max_connections = 1
         socks = []
-        for _ in range(MOST_ENDING + 3):
+        for _ in range(MAX_LINGERING + 3):
             socks.append(await self.connect())
             self.clients.server.connections[-1].force_close()
-        self.assertLessEqual(len(self.clients.server.connections), 1 + MOST_ENDING + 1)
+        self.assertLessEqual(len(self.clients.server.connections), 1 + MAX_LINGERING + 1)
 
     async def test_once_the_listener_is_shut_each_idle_client_is_ended_cleanly(self):
         socks = [await self.connect() for _ in range(5)]
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -132,7 +132,7 @@
     async def test_what_else_comes_of_a_call_given_up_tells_nothing_and_holds_nothing(self):
         for late in (http(200), b"HTTP/1.1 200 x\r\n", b"x" * 100_000, b""):
             self.calls.start("a", [item(timeout=0.2)])
-            [progress] = self.calls.begun.values()
+            [progress] = self.calls.progress.values()
             sock = await self.accept()
             await self.heard(sock)
             self.assertEqual((await self.next()).result, Result.TIMED_OUT)
@@ -165,7 +165,7 @@
         self.calls.start("a", [item()])
         self.calls.cancel("n", 0)
         o = await self.next()
-        self.assertEqual((o.result, self.calls.begun, self.calls.running), (Result.NOT_SENT, {}, {}))
+        self.assertEqual((o.result, self.calls.progress, self.calls.running), (Result.NOT_SENT, {}, {}))
         self.calls.start("a", [item(push=1)])
         self.calls.cancel_unsent("a")
         self.assertEqual((await self.next()).result, Result.NOT_SENT)
@@ -176,7 +176,7 @@
     async def test_a_call_is_over_with_the_time_of_its_first_message_and_a_later_answer_is_not_heard(self):
         """Followed by id on the bench: a batch answered 60 to 270 ms after its first message's end was
         believed for the others, which the endpoint's side did not count: lost."""
-        self.calls.batch["shared"] = 3
+        self.calls.batch_sizes["shared"] = 3
         self.calls.start("a", [item("m", timeout=5.0), item("n", timeout=0.2), item("o", timeout=5.0)])
         sock = await self.accept()
         head = await self.heard(sock, b"o k 1\r\nx\r\n")
@@ -194,7 +194,7 @@
         body = b"b" * 32 * 1024 * 1024  # more than both systems hold
         for end, out in (
             (lambda: self.calls.cancel_unsent("a"), {}),
-            (lambda: None, {"begin": 0.3}),
+            (lambda: None, {"start_timeout": 0.3}),
         ):
             self.calls.start("a", [item(body=body, **out)])
             sock = await self.accept()
@@ -218,15 +218,15 @@
 
     async def test_a_call_that_is_over_takes_nothing_back_from_the_next_on_its_connection(self):
         self.calls.start("a", [item("first")])
-        first = next(iter(self.calls.begun.values()))
+        first = next(iter(self.calls.progress.values()))
         sock = await self.accept()
         await self.heard(sock)
         sock.send(http(200))
         self.assertEqual((await self.next()).result, Result.DELIVERED)
         self.calls.start("a", [item("next", 1, body=b"b" * 32 * 1024 * 1024)])
         await self.heard(sock, b"\r\n\r\nb")
-        self.assertTrue(self.calls.not_begun(first))  # as in the turn of its end
-        self.assertFalse(next(iter(self.calls.begun.values())).unsent)
+        self.assertTrue(self.calls.end_unless_sent(first))  # as in the turn of its end
+        self.assertFalse(next(iter(self.calls.progress.values())).recalled)
         got = 0
         while got < 32 * 1024 * 1024 - 65536:
             got += len(await asyncio.wait_for(self.loop.sock_recv(sock, 1 << 20), 3.0))
--- a/tests/test_first_word.py
+++ b/tests/test_first_word.py
@@ -45,7 +45,7 @@
         for answer in (lambda *_: b"", lambda *_: http(500), lambda *_: http(200, b"[[")):
             started, took = await self.recovered(answer)
             self.assertEqual(started, ["n"])
-            self.assertLess(took, directory.FIRST + 0.3)
+            self.assertLess(took, directory.INITIAL_FETCH_TIMEOUT_S + 0.3)
             self.tearDown()
             self.setUp()
 
@@ -58,12 +58,13 @@
 
         server, address = await stand_in(agent)
         platform, at = PlatformClient(address), members()
-        with mock.patch.object(following, "RESTS", dict.fromkeys(following.RESTS, 0.2)):
+        delays = dict.fromkeys(following.MAX_RETRY_DELAY_BY_STATE_S, 0.2)
+        with mock.patch.object(following, "MAX_RETRY_DELAY_BY_STATE_S", delays):
             task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
             for _ in range(3):
                 self.assertTrue((await asyncio.wait_for(told.get(), 2.0)).failed)
             self.assertEqual((await asyncio.wait_for(told.get(), 2.0)).whole, True)
-        self.assertFalse(platform.asked.is_set())
+        self.assertFalse(platform.refresh_requested.is_set())
         task.cancel()
         await platform.close()
         server.close()
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -7,8 +7,8 @@
 from ryestack import interface as it
 from ryestack.lifecycle.terms import Terms
 from ryestack.ports import Verdict
-from ryestack.wire.client_connection import GONE
-from ryestack.wire.server import ANSWERED, ClientListener
+from ryestack.wire.client_connection import CLIENT_TIMEOUT_S
+from ryestack.wire.server import ANSWER_TIMEOUT_S, ClientListener
 
 from .helpers import brain, members, settings, take
 from .test_wire import RAW
@@ -63,7 +63,7 @@
 def test_the_time_of_a_request_that_waited_unread_runs_from_its_coming():
     [message], sent_at = busy_while_it_comes(WHOLE)
     assert abs(message.notification.due - (sent_at + SPAN)) < STEP
-    assert abs(message.answer_by - (sent_at + ANSWERED)) < STEP
+    assert abs(message.answer_by - (sent_at + ANSWER_TIMEOUT_S)) < STEP
     assert BUSY - STEP < message.notification.late < BUSY + 2 * STEP
 
 
@@ -82,7 +82,7 @@
         while not clients.server.connections:
             await asyncio.sleep(0)
         writer.write(raw)
-        time.sleep(GONE + STEP)
+        time.sleep(CLIENT_TIMEOUT_S + STEP)
         async with asyncio.timeout(3.0):
             status = await reader.read(12)
             writer.write_eof()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryestack.wire.members import BARE, Members, read_list
+from ryestack.wire.members import EMPTY_DESTINATION_TTL_S, Members, read_list
 
 NAMES, DESTINATIONS = ("a", "b", "c", "d"), range(4)
 STATUSES = st.sampled_from(["up", "draining", "removed"])
@@ -16,7 +16,7 @@
 STEPS = st.one_of(
     st.tuples(st.just("learn"), LISTS),
     st.tuples(st.just("leave"), st.none()),
-    st.tuples(st.just("wait"), st.sampled_from([0.5, BARE / 2, BARE])),
+    st.tuples(st.just("wait"), st.sampled_from([0.5, EMPTY_DESTINATION_TTL_S / 2, EMPTY_DESTINATION_TTL_S])),
 )
 
 
@@ -24,7 +24,7 @@
     """The plain form: one dictionary of rows, looked through whole each time."""
 
     def __init__(self, clock):
-        self.rows, self.bare, self.clock = {}, {}, clock
+        self.rows, self.emptied_at, self.clock = {}, {}, clock
 
     def apply_list(self, told):
         _, update, rows = read_list(told, self.rows)
@@ -37,12 +37,14 @@
     def drop_removed(self):
         gone = {name for name, row in self.rows.items() if row["status"] == "removed"}
         for name in gone:
-            self.bare[int(self.rows.pop(name)["group"])] = self.clock()
+            self.emptied_at[int(self.rows.pop(name)["group"])] = self.clock()
         return gone
 
     def has(self, destination):
-        self.bare = {d: since for d, since in self.bare.items() if self.clock() < since + BARE}
-        return destination in self.bare or any(int(r["group"]) == destination for r in self.rows.values())
+        now, ttl = self.clock(), EMPTY_DESTINATION_TTL_S
+        self.emptied_at = {d: since for d, since in self.emptied_at.items() if now < since + ttl}
+        listed = any(int(row["group"]) == destination for row in self.rows.values())
+        return destination in self.emptied_at or listed
 
 
 @given(st.lists(STEPS, max_size=30))
@@ -58,7 +60,7 @@
             told = {"index": index, **value}
             assert indexed.apply_list(told) == walked.apply_list(told)
         assert [indexed.has(d) for d in DESTINATIONS] == [walked.has(d) for d in DESTINATIONS]
-        assert (indexed.rows, indexed.bare) == (walked.rows, walked.bare)
+        assert (indexed.rows, indexed.emptied_at) == (walked.rows, walked.emptied_at)
 
 
 def test_a_destination_that_loses_its_endpoints_again_hides_no_older_one():
@@ -71,7 +73,7 @@
             at.apply_list({"index": 1, "snapshot": False, "endpoints": [told]})
         at.drop_removed()
     now = 75.0
-    assert (at.has(1), at.has(2), at.bare) == (True, False, {1: 50.0})
+    assert (at.has(1), at.has(2), at.emptied_at) == (True, False, {1: 50.0})
 
 
 class CountedRows(dict):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
 # What becomes of the registry, piece by piece: how it meets a call, and for how long (seconds).
 HOWS = st.sampled_from(["up", "refuses", "silent", "spoilt", "moved"])
 PIECES = st.lists(st.tuples(HOWS, st.floats(0.01, 9.0)), max_size=25)
-MODES, DELAYS = st.sampled_from(["push", "ask", "never"]), st.floats(0.0, following.GRACE - 0.01)
+MODES, DELAYS = st.sampled_from(["push", "ask", "never"]), st.floats(0.0, following.GRACE_S - 0.01)
 
 
 class Registry:
@@ -65,15 +65,17 @@
 def askings(pieces, seed, mode, delay):
     """Begin, end and success of each asking: the real table and decisions, answers after delay; or the
     decisions never ask."""
-    registry, made, now, out = Registry(pieces), following.Following(0.0), 0.0, []
+    registry, made, now, out = Registry(pieces), following.WatchState(0.0), 0.0, []
     module = Brain(settings(asks_for_list=mode == "ask"), seed)
     while now < registry.end + 30.0:
-        over, told = registry.call(now, made.hold() + delay, made.limit())
+        over, told = registry.call(now, made.hold() + delay, made.timeout())
         out.append((now, over, told))
-        made.heard("told" if told else "failed", over)
+        made.update("told" if told else "failed", over)
         wait = 0.1
         if not told:
-            wait = made.rest if mode == "never" else min(made.rest, asked_after(module, over, made.sure_at))
+            wait = made.max_retry_delay
+            if mode != "never":
+                wait = min(wait, asked_after(module, over, made.confirmed_at))
         else:
             module.round(over, [it.ListUpdate()])
         now = max(over + wait, out[-1][0] + 0.1)
@@ -89,7 +91,7 @@
     for begins, ends, _ in [*registry.pieces, (registry.end, registry.end + 12.0, "up")]:
         for change in (begins, (begins + ends) / 2, ends - 1e-3):
             since = registry.up_since(change)
-            due = max(change, since if since is not None else 0.0) + following.CLOCK
+            due = max(change, since if since is not None else 0.0) + following.MAX_AGE_S
             if since is None or registry.up_since(due) != since:
                 continue  # it was lost again before the clock was over
             # An asking that began once it was up, or that was open and well at the change, brings it.
@@ -107,7 +109,7 @@
         made.round(5.0, [it.Woken()])  # the asking that each start begins with
         for _ in range(fails):
             after_last = asked_after(made, now)
-            assert after_last <= following.RESTS["unsure"] + 0.03
+            assert after_last <= following.MAX_RETRY_DELAY_BY_STATE_S["unsure"] + 0.03
             now += after_last + 1.0
         after.append(after_last)
     assert max(sum(at <= each < at + 0.1 for each in after) for at in after) < 40
@@ -115,12 +117,13 @@
 
 @given(st.lists(st.sampled_from(["told", "failed", "moved"]), max_size=30))
 def test_only_a_list_that_was_told_last_is_waited_on(heard):
-    made = following.Following(0.0)
+    made = following.WatchState(0.0)
     for at, what in enumerate(heard, 1):
-        made.heard(what, float(at))
+        made.update(what, float(at))
     assert (made.hold() > 0.0) == (bool(heard) and heard[-1] == "told")
-    assert made.sure_at == float(max((at for at, what in enumerate(heard, 1) if what == "told"), default=0))
-    assert made.limit() <= following.HOLD + following.GRACE
+    answered_at = max((at for at, what in enumerate(heard, 1) if what == "told"), default=0)
+    assert made.confirmed_at == float(answered_at)
+    assert made.timeout() <= following.HOLD_S + following.GRACE_S
 
 
 @given(st.integers(0, 2**32), st.integers(1, 30))
@@ -134,7 +137,7 @@
             asked = [a for a in made.round(now, [it.Woken()]) if isinstance(a, it.AskForList)]
         assert Brain.NEAR / 2 - 1e-9 <= now - failed <= Brain.NEAR + 0.02
     # The agent may come back a moment after an asking began that it does not answer any more.
-    assert following.GRACE + Brain.NEAR < DRAIN
+    assert following.GRACE_S + Brain.NEAR < DRAIN
 
 
 def test_past_the_clock_a_route_gets_new_work_only_while_a_delivery_of_late_speaks_for_it():
@@ -181,7 +184,7 @@
             while update.failed and not any(isinstance(a, it.AskForList) for a in acts):
                 await asyncio.sleep(0.05)
                 acts = module.round(loop.time(), [it.Woken()])
-            platform.asked.set()
+            platform.refresh_requested.set()
         task.cancel()
         await platform.close()
         server.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,7 +15,7 @@
 from ryestack.wire.files import FileNotices
 from ryestack.wire.members import BadList, FixedDirectory, Members, watch
 from ryestack.wire.notices import PlatformNotices
-from ryestack.wire.platform import MOST, PlatformClient
+from ryestack.wire.platform import MAX_ANSWER_BYTES, PlatformClient
 
 from .helpers import http, listed, members, settings, stand_in
 
@@ -35,7 +35,7 @@
         at.drop_removed()
         self.assertEqual((at.rows, at.has(7)), ({}, True))
         now = 66.0
-        self.assertEqual((at.has(7), at.bare), (False, {}))
+        self.assertEqual((at.has(7), at.emptied_at), (False, {}))
 
     async def test_at_the_bound_the_longest_idle_connection_makes_room(self):
         told = asyncio.Queue()
@@ -50,7 +50,7 @@
             await told.get()
         oldest, *_ = sorted(calls.open_connections, key=lambda r: r.idle_since)
         await asyncio.sleep(0.01)
-        calls.make_room()
+        calls.evict_at_limit()
         await asyncio.sleep(0.01)
         self.assertNotIn(oldest, calls.open_connections)
         await calls.close()
@@ -71,10 +71,10 @@
             at.apply_list({"index": inf, "snapshot": False, "endpoints": []})
 
     async def test_an_answer_of_the_platform_without_bounds_is_given_up(self):
-        server, address = await stand_in(lambda *_: http(200, b"x" * (MOST + 1)))
+        server, address = await stand_in(lambda *_: http(200, b"x" * (MAX_ANSWER_BYTES + 1)))
         platform = PlatformClient(address)
         with self.assertRaises(aiohttp.ClientError):
-            await platform.ask("GET", "/", 3.0)
+            await platform.request("GET", "/", 3.0)
         await platform.close()
         server.close()
 
@@ -96,7 +96,7 @@
             self.assertTrue((await asyncio.wait_for(told.get(), 3.0)).failed)
             await asyncio.sleep(0.25)
             self.assertEqual(len(answers), left)
-            platform.asked.set()
+            platform.refresh_requested.set()
         update = await asyncio.wait_for(told.get(), 3.0)
         task.cancel()
         await platform.close()
@@ -108,7 +108,7 @@
         for said in (b"", None, http(503), *(http(200, body) for body in odd)):
             server, address = await stand_in(lambda *_, said=said: said)
             at, told, platform = members(), asyncio.Queue(), PlatformClient(address)
-            with patch("ryestack.membership.following.GRACE", 0.1):
+            with patch("ryestack.membership.following.GRACE_S", 0.1):
                 task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
                 update = await asyncio.wait_for(told.get(), 3.0)
             task.cancel()
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -15,7 +15,7 @@
 from ryestack.lifecycle.watched import Watched
 from ryestack.observe import figures
 from ryestack.wire.server import ACCEPTED, UNAVAILABLE
-from ryestack.wire.staff import MOST
+from ryestack.wire.staff import MAX_CONNECTIONS
 
 from .helpers import brain, end, http, stand_in, take
 from .test_lifecycle import Program
@@ -144,7 +144,7 @@
 
     async def test_callers_that_hold_on_keep_nobody_out(self):
         host, port = self.ops.split(":")
-        held = [await asyncio.open_connection(host, int(port)) for _ in range(2 * MOST)]
+        held = [await asyncio.open_connection(host, int(port)) for _ in range(2 * MAX_CONNECTIONS)]
         held[-1][1].write(b"GET /-/rea")
         began = time.monotonic()
         for call, status in ((("GET", "/-/ready"), 200), (("GET", "/-/drain"), 405), (("GET", "/x"), 404)):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from ryestack.ports import Verdict
 from ryestack.wire import forms
 from ryestack.wire.members import Members
-from ryestack.wire.server import ACCEPTED, UNAVAILABLE, UNREAD, ClientListener
+from ryestack.wire.server import ACCEPTED, MAX_INCOMPLETE_BODY_BYTES, UNAVAILABLE, ClientListener
 
 from .helpers import listed, members, settings
 
@@ -130,9 +130,9 @@
         self.assertEqual([part[9:12] for part in said], [b"", b"", b"408"])
 
     async def test_too_much_at_once_is_refused(self):
-        self.clients.unread = UNREAD
+        self.clients.incomplete_body_bytes = MAX_INCOMPLETE_BODY_BYTES
         self.assertEqual((await self.post()).status, UNAVAILABLE)
-        self.assertEqual(self.clients.unread, UNREAD)
+        self.assertEqual(self.clients.incomplete_body_bytes, MAX_INCOMPLETE_BODY_BYTES)
 
     async def test_at_the_bound_the_oldest_idle_connection_makes_room(self):
         self.clients.max_connections = 3
@@ -169,18 +169,19 @@
 
 class Forms(unittest.TestCase):
     def test_durations_have_a_unit(self):
-        self.assertAlmostEqual(forms.seconds("1500u"), 0.0015)
+        self.assertAlmostEqual(forms.parse_duration("1500u"), 0.0015)
         for bad in ("", "5", "m", "1e3m", "٣m"):
             with self.assertRaises(forms.BadForm):
-                forms.seconds(bad)
+                forms.parse_duration(bad)
 
     def test_the_destination_among_other_fields(self):
-        self.assertEqual(forms.destination("v=1; dest=12"), 12)
+        self.assertEqual(forms.parse_destination("v=1; dest=12"), 12)
         with self.assertRaises(forms.BadForm):
-            forms.destination("xdest=12")
+            forms.parse_destination("xdest=12")
 
     def test_a_report_that_cannot_be_read_is_none(self):
-        self.assertEqual([forms.report(t) for t in (None, "{", "[1]", '{"x1":2}')], [{}, {}, {}, {"x1": 2}])
+        reports = [forms.load_report(text) for text in (None, "{", "[1]", '{"x1":2}')]
+        self.assertEqual(reports, [{}, {}, {}, {"x1": 2}])
 
     def test_an_empty_list_is_a_list(self):
         self.assertEqual(Members().apply_list({**listed(), "endpoints": []}).endpoints, ())
