--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -22,7 +22,7 @@
     """Clients' side in this loop, and raw sockets to it."""
 
     async def asyncSetUp(self):
-        self.got, self.gone = [], []
+        self.submitted, self.gone = [], []
         self.loop = asyncio.get_running_loop()
         self.clients = ClientListener(
             settings(), Terms(settings()), members(), self.loop.time, self.take, self.gone.append, 50
@@ -38,7 +38,7 @@
         await self.clients.server.shutdown(0.1)
 
     def take(self, message):
-        self.got.append(message.notification.id)
+        self.submitted.append(message.notification.id)
         message.verdict.set_result((Verdict.ACCEPTED, 0.0))
 
     async def connect(self) -> socket.socket:
@@ -92,7 +92,7 @@
             await self.until(lambda c=connection: c.ending.discarded >= len(WHOLE))
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
-        self.assertEqual(self.got, [])
+        self.assertEqual(self.submitted, [])
 
     async def test_a_request_that_has_come_by_then_is_answered(self):
         for end in (
@@ -103,9 +103,9 @@
             [connection] = self.clients.server.connections
             sock.send(WHOLE)
             end(connection)
-            await self.until(lambda: self.got)
+            await self.until(lambda: self.submitted)
             self.assertEqual((await self.loop.sock_recv(sock, 65536))[9:12], b"202")
-            self.got.clear()
+            self.submitted.clear()
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
 
@@ -155,7 +155,7 @@
         self.assertEqual([answer[:3] for answer in answers], [b"202", b"202"])
         self.assertEqual([b"connection: close" in a.lower() for a in answers], [False, True])
         await self.until(lambda: connection.ending.discarded)
-        self.assertEqual(self.got, ["n", "m"])
+        self.assertEqual(self.submitted, ["n", "m"])
 
     async def test_a_client_that_neither_ends_nor_stops_is_cut_off(self):
         sock = await self.connect()
@@ -174,10 +174,10 @@
 
     async def test_past_the_bound_a_request_hears_503_and_what_rests_after_our_end_holds_nothing(self):
         self.clients.max_connections = 1
-        self.clients.submit = lambda message: self.got.append(message.notification.id)
+        self.clients.submit = lambda message: self.submitted.append(message.notification.id)
         busy = await self.connect()
         busy.send(WHOLE)  # its verdict never comes
-        await self.until(lambda: self.got)
+        await self.until(lambda: self.submitted)
         socks = [socket.create_connection(self.at, timeout=2.0) for _ in range(MAX_LINGERING + 2)]
         self.open += socks
         for sock in socks:
@@ -192,7 +192,7 @@
         for sock in socks:
             sock.close()
         await self.until(lambda: not client_connection.RefusedConnection.active)
-        self.assertEqual(self.got, ["n"])
+        self.assertEqual(self.submitted, ["n"])
 
     async def test_those_that_linger_are_cut_off_past_their_bound(self):
         self.clients.max_connections = 1
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -147,14 +147,14 @@
     async def test_an_end_over_a_request_that_was_read_is_told_and_each_end_has_its_reason(self):
         told = []
         self.clients.server.on_unanswered_close = lambda: told.append(True)
-        self.clients.submit = lambda message: self.got.append(message)
+        self.clients.submit = lambda message: self.submitted.append(message)
         sock = await self.connect()
         sock.send(WHOLE)
-        await self.until(lambda: self.got)
+        await self.until(lambda: self.submitted)
         [connection] = self.clients.server.connections
         connection.end_with_reason(CloseReason.EVICTED)  # as if it had been taken for idle
         self.assertEqual(told, [True])
-        self.got[0].verdict.set_result((Verdict.THROTTLED, 0.0))
+        self.submitted[0].verdict.set_result((Verdict.THROTTLED, 0.0))
         await self.until(lambda: not self.clients.server.connections)
         idle = await self.connect()
         [connection] = self.clients.server.connections
