--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Ends of client connections, each crossed by bytes at the very point: raw sockets, no sleep that hopes."""
+"""Ends of client connections that race with bytes from the client, on raw sockets."""
 
 import asyncio
 import socket
@@ -19,34 +19,34 @@
 
 
 class Served:
-    """Clients' side in this loop, and raw sockets to it."""
+    """A ClientListener in this loop, and raw sockets to it."""
 
     async def asyncSetUp(self):
-        self.submitted, self.gone = [], []
+        self.submitted, self.withdrawn = [], []
         self.loop = asyncio.get_running_loop()
         self.clients = ClientListener(
-            settings(), Terms(settings()), members(), self.loop.time, self.take, self.gone.append, 50
+            settings(), Terms(settings()), members(), self.loop.time, self.submit, self.withdrawn.append, 50
         )
         await self.clients.listen("127.0.0.1", 0)
-        self.clients.ready, self.open = True, []
-        self.at = self.clients.listener.sockets[0].getsockname()[:2]
+        self.clients.ready, self.sockets = True, []
+        self.address = self.clients.listener.sockets[0].getsockname()[:2]
 
     async def asyncTearDown(self):
-        for sock in self.open:
+        for sock in self.sockets:
             sock.close()
         self.clients.stop_listening()
         await self.clients.server.shutdown(0.1)
 
-    def take(self, message):
+    def submit(self, message):
         self.submitted.append(message.notification.id)
         message.verdict.set_result((Verdict.ACCEPTED, 0.0))
 
     async def connect(self) -> socket.socket:
-        """A client's socket, once the server has its connection."""
+        """A client's socket, once the server has accepted its connection."""
         before = len(self.clients.server.connections)
-        sock = socket.create_connection(self.at, timeout=2.0)
+        sock = socket.create_connection(self.address, timeout=2.0)
         sock.setblocking(False)
-        self.open.append(sock)
+        self.sockets.append(sock)
         while len(self.clients.server.connections) == before:
             await asyncio.sleep(0)
         await self.until(lambda: self.clients.server.connections[-1].idle())
@@ -57,26 +57,26 @@
             while not ready():
                 await asyncio.sleep(0.001)
 
-    async def rest(self, sock) -> bytes:
-        """All that comes, to a clean end: a reset raises."""
-        said = b""
+    async def read_to_end(self, sock) -> bytes:
+        """All bytes received, to a clean end: a reset raises."""
+        received = b""
         async with asyncio.timeout(3.0):
             while data := await self.loop.sock_recv(sock, 65536):
-                said += data
-        return said
+                received += data
+        return received
 
-    def crossing(self, sock, data):
-        """A look that finds nothing, and the client's bytes right after it: no close comes sooner."""
+    def unread_check_then(self, sock, data):
+        """Patch the check for unread bytes: it finds none, and the client's bytes arrive right after it."""
 
-        def look(_):
+        def none_unread(_):
             sock.send(data)
             return False
 
-        return mock.patch.object(client_connection, "has_unread", look)
+        return mock.patch.object(client_connection, "has_unread", none_unread)
 
 
-class Crossed(Served, unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_that_crosses_our_end_is_not_taken_on_and_meets_no_reset(self):
+class Races(Served, unittest.IsolatedAsyncioTestCase):
+    async def test_a_request_sent_while_the_relay_ends_is_not_accepted_and_not_reset(self):
         for end in (
             lambda c: c.close_if_quiet(0.0),
             lambda c: c.force_close(),
@@ -84,17 +84,17 @@
         ):
             sock = await self.connect()
             [connection] = self.clients.server.connections
-            with self.crossing(sock, WHOLE):
+            with self.unread_check_then(sock, WHOLE):
                 end(connection)
             if not connection.ending.discarded:
                 sock.send(WHOLE)
-            self.assertEqual(await self.rest(sock), b"")
+            self.assertEqual(await self.read_to_end(sock), b"")
             await self.until(lambda c=connection: c.ending.discarded >= len(WHOLE))
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
         self.assertEqual(self.submitted, [])
 
-    async def test_a_request_that_has_come_by_then_is_answered(self):
+    async def test_a_request_that_was_received_before_the_end_is_answered(self):
         for end in (
             lambda c: c.close_if_quiet(0.0),
             lambda c: setattr(c, "_next_keepalive_close_time", 0.0) or c._process_keepalive(),
@@ -109,28 +109,28 @@
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
 
-    async def test_an_idle_connection_with_a_request_does_not_make_room_for_another(self):
+    async def test_an_idle_connection_with_an_unread_request_is_not_evicted(self):
         self.clients.max_connections = 2
         first, second = await self.connect(), await self.connect()
         first.send(WHOLE)
         third = self.clients.accept()
         self.assertIsInstance(third, client_connection.ClientConnection)
-        self.assertEqual(await self.rest(second), b"")
+        self.assertEqual(await self.read_to_end(second), b"")
         self.assertEqual((await self.loop.sock_recv(first, 65536))[9:12], b"202")
 
-    async def test_a_request_with_nonsense_behind_it_is_answered_before_the_end(self):
-        for nonsense in (b"\x00\x01 no request\r\n\r\n", b"POST /api HTTP/9\r\n\r\n", b"\r\n" * 3 + b"x\r\n"):
+    async def test_a_request_with_malformed_bytes_behind_it_is_answered_before_the_end(self):
+        for bad in (b"\x00\x01 no request\r\n\r\n", b"POST /api HTTP/9\r\n\r\n", b"\r\n" * 3 + b"x\r\n"):
             waiting = []
             self.clients.submit = waiting.append
             sock = await self.connect()
             sock.send(WHOLE)
             await self.until(lambda w=waiting: w)
-            sock.send(nonsense)
+            sock.send(bad)
             await asyncio.sleep(0.05)
             waiting[0].verdict.set_result((Verdict.ACCEPTED, 0.0))
-            self.assertEqual((await self.rest(sock))[9:12], b"202")
+            self.assertEqual((await self.read_to_end(sock))[9:12], b"202")
 
-    async def test_an_answer_that_says_close_is_read_whole_behind_bytes_we_never_wanted(self):
+    async def test_an_answer_with_connection_close_arrives_whole_though_bytes_stay_unread(self):
         twice = RAW.replace(b"Content-Length", b"Content-Length: 4\r\nContent-Length")
         for head in (RAW % 60_000_000, twice % 9):
             sock = await self.connect()
@@ -138,26 +138,26 @@
             [connection] = self.clients.server.connections
             await self.until(lambda c=connection: c.ending)
             await self.loop.sock_sendall(sock, b"x" * 50_000)
-            said = await self.rest(sock)
-            self.assertIn(said[9:12], (b"400", b"413"))
+            received = await self.read_to_end(sock)
+            self.assertIn(received[9:12], (b"400", b"413"))
             sock.close()
             await self.until(lambda: not self.clients.server.connections)
 
-    async def test_while_it_leaves_all_that_was_read_is_answered_and_nothing_behind_that_read(self):
+    async def test_at_a_drain_all_requests_that_were_read_are_answered_and_no_more_are_read(self):
         self.clients.start_drain()
         sock = await self.connect()
         [connection] = self.clients.server.connections
         await self.loop.sock_sendall(sock, WHOLE + ANOTHER)
         await self.until(lambda: connection.ending)
         sock.send(WHOLE.replace(b"X-Request-Id: n", b"X-Request-Id: o"))
-        said = await self.rest(sock)
-        answers = said.split(b"HTTP/1.1 ")[1:]
+        received = await self.read_to_end(sock)
+        answers = received.split(b"HTTP/1.1 ")[1:]
         self.assertEqual([answer[:3] for answer in answers], [b"202", b"202"])
         self.assertEqual([b"connection: close" in a.lower() for a in answers], [False, True])
         await self.until(lambda: connection.ending.discarded)
         self.assertEqual(self.submitted, ["n", "m"])
 
-    async def test_a_client_that_neither_ends_nor_stops_is_cut_off(self):
+    async def test_a_client_that_neither_closes_nor_stops_sending_is_cut_off(self):
         sock = await self.connect()
         [connection] = self.clients.server.connections
         connection.force_close()
@@ -172,29 +172,29 @@
         await self.until(lambda: not self.clients.server.connections)
         silent.close()
 
-    async def test_past_the_bound_a_request_hears_503_and_what_rests_after_our_end_holds_nothing(self):
+    async def test_beyond_the_limit_a_request_is_answered_503_and_released(self):
         self.clients.max_connections = 1
         self.clients.submit = lambda message: self.submitted.append(message.notification.id)
         busy = await self.connect()
         busy.send(WHOLE)  # its verdict never comes
         await self.until(lambda: self.submitted)
-        socks = [socket.create_connection(self.at, timeout=2.0) for _ in range(MAX_LINGERING + 2)]
-        self.open += socks
+        socks = [socket.create_connection(self.address, timeout=2.0) for _ in range(MAX_LINGERING + 2)]
+        self.sockets += socks
         for sock in socks:
             sock.setblocking(False)
         await self.until(lambda: len(client_connection.RefusedConnection.active) == MAX_LINGERING)
         for sock in socks[MAX_LINGERING:]:
-            self.assertEqual(await self.rest(sock), b"")
+            self.assertEqual(await self.read_to_end(sock), b"")
         for sock in socks[:MAX_LINGERING]:
             sock.send(ANOTHER)
         for sock in socks[:MAX_LINGERING]:
-            self.assertEqual((await self.rest(sock))[9:12], b"503")
+            self.assertEqual((await self.read_to_end(sock))[9:12], b"503")
         for sock in socks:
             sock.close()
         await self.until(lambda: not client_connection.RefusedConnection.active)
         self.assertEqual(self.submitted, ["n"])
 
-    async def test_those_that_linger_are_cut_off_past_their_bound(self):
+    async def test_lingering_connections_beyond_their_limit_are_aborted(self):
         self.clients.max_connections = 1
         socks = []
         for _ in range(MAX_LINGERING + 3):
@@ -202,14 +202,14 @@
             self.clients.server.connections[-1].force_close()
         self.assertLessEqual(len(self.clients.server.connections), 1 + MAX_LINGERING + 1)
 
-    async def test_once_the_listener_is_shut_each_idle_client_is_ended_cleanly(self):
+    async def test_once_the_listener_stops_each_idle_client_is_ended_cleanly(self):
         socks = [await self.connect() for _ in range(5)]
         await self.loop.sock_sendall(socks[0], WHOLE)
         self.clients.start_drain()
         self.clients.stop_accepting()
-        said = [await self.rest(sock) for sock in socks]
-        self.assertEqual([part[9:12] for part in said], [b"202", b"", b"", b"", b""])
-        self.assertIn(b"Connection: close", said[0])
+        received = [await self.read_to_end(sock) for sock in socks]
+        self.assertEqual([part[9:12] for part in received], [b"202", b"", b"", b"", b""])
+        self.assertIn(b"Connection: close", received[0])
 
 
 if __name__ == "__main__":
--- a/tests/test_endpoint_connection.py
+++ b/tests/test_endpoint_connection.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, crossed at the very point: between a look and a byte, a head and its rest."""
+"""Races on connections to endpoints: between a check and the first byte, between a head and its body."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from unittest import mock
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.ports import PushMessage
 from ryestack.wire.calls import CallDispatcher
@@ -15,83 +15,83 @@
 from .helpers import http, members, settings
 
 
-def item(name="n", push=0, timeout=5.0, body=b"x", acknowledged=None, **more):
+def message(name="n", push=0, timeout=5.0, body=b"x", acknowledged=None, **more):
     return PushMessage(name, push, timeout, "k", body, acknowledged, **more)
 
 
-class Crossed(unittest.IsolatedAsyncioTestCase):
+class EndpointConnectionTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.loop, self.told, self.far = asyncio.get_running_loop(), asyncio.Queue(), []
+        self.loop, self.events, self.accepted = asyncio.get_running_loop(), asyncio.Queue(), []
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         host, port = self.listener.getsockname()
         self.calls = CallDispatcher(
-            settings(connection_idle=5.0), members(address=f"{host}:{port}"), self.loop.time, self.tell, 50
+            settings(connection_idle=5.0), members(address=f"{host}:{port}"), self.loop.time, self.publish, 50
         )
 
     async def asyncTearDown(self):
         await self.calls.close()
-        for sock in (self.listener, *self.far):
+        for sock in (self.listener, *self.accepted):
             sock.close()
 
-    def tell(self, events):
-        for each in events:
-            self.told.put_nowait(each)
+    def publish(self, events):
+        for event in events:
+            self.events.put_nowait(event)
 
-    async def next(self, kind=it.Outcome):
+    async def next_event(self, kind=interface.Outcome):
         async with asyncio.timeout(3.0):
-            while not isinstance(each := await self.told.get(), kind):
+            while not isinstance(event := await self.events.get(), kind):
                 pass
-        return each
+        return event
 
     async def accept(self) -> socket.socket:
         sock, _ = await asyncio.wait_for(self.loop.sock_accept(self.listener), 3.0)
         sock.setblocking(False)
-        self.far.append(sock)
+        self.accepted.append(sock)
         return sock
 
-    async def heard(self, sock, mark=b"\r\n\r\nx") -> bytes:
+    async def receive_until(self, sock, mark=b"\r\n\r\nx") -> bytes:
         data = b""
         async with asyncio.timeout(3.0):
             while mark not in data:
                 data += await self.loop.sock_recv(sock, 65536)
         return data
 
-    async def rest(self, sock) -> bytes:
-        """What still comes, to the end of the connection: closed over unread bytes, it is a reset."""
+    async def receive_rest(self, sock) -> bytes:
+        """The bytes still received; a connection that is closed with unread bytes is reset: then none."""
         try:
             return await asyncio.wait_for(self.loop.sock_recv(sock, 100), 3.0)
         except ConnectionResetError:
             return b""
 
-    async def kept(self) -> socket.socket:
-        """The far end of a connection that has carried a call and rests."""
-        self.calls.start("a", [item("first")])
+    async def idle_connection(self) -> socket.socket:
+        """The endpoint's socket of an idle connection that has carried a call."""
+        self.calls.start("a", [message("first")])
         sock = await self.accept()
-        await self.heard(sock)
+        await self.receive_until(sock)
         sock.send(http(200))
-        self.assertEqual((await self.next()).result, Result.DELIVERED)
+        self.assertEqual((await self.next_event()).result, Result.DELIVERED)
         return sock
 
-    async def test_bytes_between_the_look_and_the_first_byte_are_no_answer_and_nothing_is_sent(self):
-        """Half a line, a whole late answer, an end: each comes when the connection is chosen already."""
-        for stray in (b"HTTP/1.1 200", http(200), b"x", None):
-            sock = await self.kept()
+    async def test_bytes_received_before_the_first_byte_is_written_are_no_answer_and_nothing_is_sent(self):
+        """Part of a line, a late answer or an end arrives after the connection was chosen for a call."""
+        for unexpected in (b"HTTP/1.1 200", http(200), b"x", None):
+            sock = await self.idle_connection()
             real = EndpointConnection.set_response_params
 
-            def chosen(connection, real=real, sock=sock, stray=stray, **params):
+            def chosen(connection, real=real, sock=sock, data=unexpected, **params):
                 real(connection, **params)
-                sock.send(stray) if stray else sock.shutdown(socket.SHUT_WR)
+                sock.send(data) if data else sock.shutdown(socket.SHUT_WR)
 
             with mock.patch.object(EndpointConnection, "set_response_params", chosen):
-                self.calls.start("a", [item("next", 1)])
-                o = await self.next()
-            self.assertEqual((o.result, self.calls.written), (Result.NOT_SENT, 1), stray)
-            self.assertEqual(await self.rest(sock), b"")
+                self.calls.start("a", [message("next", 1)])
+                outcome = await self.next_event()
+            self.assertEqual((outcome.result, self.calls.written), (Result.NOT_SENT, 1), unexpected)
+            self.assertEqual(await self.receive_rest(sock), b"")
             self.calls.written = 0
 
-    async def test_a_wait_told_while_a_call_has_its_connection_but_no_byte_is_written(self):
-        sock = await self.kept()
+    async def test_a_call_is_cancelled_that_has_its_connection_but_no_byte_written(self):
+        sock = await self.idle_connection()
         real = EndpointConnection.set_response_params
 
         def chosen(connection, **params):
@@ -99,137 +99,138 @@
             self.calls.cancel_unsent("a")
 
         with mock.patch.object(EndpointConnection, "set_response_params", chosen):
-            self.calls.start("a", [item("next", 1)])
-            o = await self.next()
-        self.assertEqual((o.result, self.calls.written), (Result.NOT_SENT, 1))
-        self.assertEqual(await self.rest(sock), b"")
-
-    async def test_a_wait_is_told_by_the_head_whatever_becomes_of_the_rest(self):
-        """The rest never comes: its outcome is known only when the time for it is over."""
-        self.calls.start("a", [item()])
+            self.calls.start("a", [message("next", 1)])
+            outcome = await self.next_event()
+        self.assertEqual((outcome.result, self.calls.written), (Result.NOT_SENT, 1))
+        self.assertEqual(await self.receive_rest(sock), b"")
+
+    async def test_a_wait_is_published_with_the_head_though_the_rest_never_comes(self):
+        """The outcome is known only when the time for the rest of the answer is over."""
+        self.calls.start("a", [message()])
         sock = await self.accept()
-        await self.heard(sock)
+        await self.receive_until(sock)
         sock.send(b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 700\r\nContent-Length: 9\r\n\r\nx")
-        first = await asyncio.wait_for(self.told.get(), 3.0)
-        self.assertEqual(first, it.WaitTold("a", 0.7))
+        first = await asyncio.wait_for(self.events.get(), 3.0)
+        self.assertEqual(first, interface.WaitTold("a", 0.7))
         self.assertEqual(self.calls.in_flight(), 1)
-        o = await self.next()
-        self.assertEqual((o.result, o.wait), (Result.BROKEN, 0.7))
+        outcome = await self.next_event()
+        self.assertEqual((outcome.result, outcome.wait), (Result.BROKEN, 0.7))
 
-    async def test_a_wait_in_an_answer_that_crosses_our_giving_up_is_heard(self):
-        """By a cancel, a time-out: the answer was written before our end had come."""
+    async def test_a_wait_in_an_answer_to_an_abandoned_call_is_published(self):
+        """After a cancel or a time-out: the answer was written before the half-close arrived."""
         for end, more in ((lambda: self.calls.cancel("n", 0), {}), (lambda: None, {"timeout": 0.2})):
-            self.calls.start("a", [item(**more)])
+            self.calls.start("a", [message(**more)])
             sock = await self.accept()
-            await self.heard(sock)
+            await self.receive_until(sock)
             end()
-            self.assertIn((await self.next()).result, (Result.CANCELLED, Result.TIMED_OUT))
-            self.assertEqual(await asyncio.wait_for(self.loop.sock_recv(sock, 9), 1.0), b"")  # given up
+            self.assertIn((await self.next_event()).result, (Result.CANCELLED, Result.TIMED_OUT))
+            self.assertEqual(await asyncio.wait_for(self.loop.sock_recv(sock, 9), 1.0), b"")  # the half-close
             sock.send(b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 700\r\nContent-Length: 0\r\n\r\n")
-            self.assertEqual(await self.next(it.WaitTold), it.WaitTold("a", 0.7))
-            await self.gone()
+            self.assertEqual(await self.next_event(interface.WaitTold), interface.WaitTold("a", 0.7))
+            await self.all_closed()
 
-    async def test_what_else_comes_of_a_call_given_up_tells_nothing_and_holds_nothing(self):
+    async def test_any_other_answer_to_an_abandoned_call_is_ignored_and_the_connection_closed(self):
         for late in (http(200), b"HTTP/1.1 200 x\r\n", b"x" * 100_000, b""):
-            self.calls.start("a", [item(timeout=0.2)])
+            self.calls.start("a", [message(timeout=0.2)])
             [progress] = self.calls.progress.values()
             sock = await self.accept()
-            await self.heard(sock)
-            self.assertEqual((await self.next()).result, Result.TIMED_OUT)
+            await self.receive_until(sock)
+            self.assertEqual((await self.next_event()).result, Result.TIMED_OUT)
             sock.send(late)
-            await self.gone()
+            await self.all_closed()
             self.assertEqual(progress.status, 0)
-        self.assertTrue(self.told.empty())
+        self.assertTrue(self.events.empty())
 
-    async def gone(self):
+    async def all_closed(self):
         async with asyncio.timeout(2.0):
             while self.calls.open_connections:
                 await asyncio.sleep(0.01)
 
-    async def test_a_call_that_ends_while_its_client_is_told_leaves_that_word_to_the_next(self):
-        heard = self.loop.create_future()
-        self.calls.start("a", [item(acknowledged=heard)])
+    async def test_a_call_that_ends_while_its_client_is_answered_leaves_the_acknowledgement_to_the_next(self):
+        acknowledged = self.loop.create_future()
+        self.calls.start("a", [message(acknowledged=acknowledged)])
         await asyncio.sleep(0)
         self.calls.cancel_unsent("a")
-        self.assertEqual((await self.next()).result, Result.NOT_SENT)
-        self.calls.start("a", [item(push=1, acknowledged=heard)])
+        self.assertEqual((await self.next_event()).result, Result.NOT_SENT)
+        self.calls.start("a", [message(push=1, acknowledged=acknowledged)])
         await asyncio.sleep(0)
         self.calls.cancel("n", 1)
-        self.assertEqual((await self.next()).result, Result.NO_CONNECTION)
-        self.assertFalse(heard.done())
-        heard.set_result(True)
-        self.calls.start("a", [item(push=2, acknowledged=heard)])
-        await self.heard(await self.accept())
-
-    async def test_a_call_ended_before_its_first_step_is_told_as_not_sent(self):
-        self.calls.start("a", [item()])
+        self.assertEqual((await self.next_event()).result, Result.NO_CONNECTION)
+        self.assertFalse(acknowledged.done())
+        acknowledged.set_result(True)
+        self.calls.start("a", [message(push=2, acknowledged=acknowledged)])
+        await self.receive_until(await self.accept())
+
+    async def test_a_call_cancelled_before_its_first_step_is_reported_as_not_sent(self):
+        self.calls.start("a", [message()])
         self.calls.cancel("n", 0)
-        o = await self.next()
-        self.assertEqual((o.result, self.calls.progress, self.calls.running), (Result.NOT_SENT, {}, {}))
-        self.calls.start("a", [item(push=1)])
+        outcome = await self.next_event()
+        self.assertEqual((outcome.result, self.calls.progress, self.calls.running), (Result.NOT_SENT, {}, {}))
+        self.calls.start("a", [message(push=1)])
         self.calls.cancel_unsent("a")
-        self.assertEqual((await self.next()).result, Result.NOT_SENT)
-        self.calls.start("a", [item(push=2)])
+        self.assertEqual((await self.next_event()).result, Result.NOT_SENT)
+        self.calls.start("a", [message(push=2)])
         await self.calls.close()
-        self.assertEqual((await self.next()).result, Result.NOT_SENT)
+        self.assertEqual((await self.next_event()).result, Result.NOT_SENT)
 
-    async def test_a_call_is_over_with_the_time_of_its_first_message_and_a_later_answer_is_not_heard(self):
-        """Followed by id on the bench: a batch answered 60 to 270 ms after its first message's end was
-        believed for the others, which the endpoint's side did not count: lost."""
+    async def test_a_call_ends_with_the_shortest_timeout_and_a_later_answer_is_ignored(self):
+        """Guards against lost notifications: a batch answered 60 to 270 ms after the timeout of its first
+        message counted as delivered for the others, though the endpoint did not count them."""
         self.calls.batch_sizes["shared"] = 3
-        self.calls.start("a", [item("m", timeout=5.0), item("n", timeout=0.2), item("o", timeout=5.0)])
+        timeouts = (("m", 5.0), ("n", 0.2), ("o", 5.0))
+        self.calls.start("a", [message(name, timeout=seconds) for name, seconds in timeouts])
         sock = await self.accept()
-        head = await self.heard(sock, b"o k 1\r\nx\r\n")
-        told = int(head.partition(b"X-Deadline: ")[2].partition(b"m")[0])
-        self.assertLessEqual(told, 200)
+        head = await self.receive_until(sock, b"o k 1\r\nx\r\n")
+        deadline_ms = int(head.partition(b"X-Deadline: ")[2].partition(b"m")[0])
+        self.assertLessEqual(deadline_ms, 200)
         for name in "mno":
-            o = await self.next()
-            self.assertEqual((o.id, o.result), (name, Result.TIMED_OUT))
+            outcome = await self.next_event()
+            self.assertEqual((outcome.id, outcome.result), (name, Result.TIMED_OUT))
         with suppress(OSError):
             sock.send(http(200, b"m done\r\nn done\r\no done\r\n"))
-        self.assertEqual(await self.rest(sock), b"")
-        self.assertTrue(self.told.empty())
+        self.assertEqual(await self.receive_rest(sock), b"")
+        self.assertTrue(self.events.empty())
 
-    async def test_a_call_whose_last_byte_waits_with_us_is_called_back_and_never_goes_out(self):
-        body = b"b" * 32 * 1024 * 1024  # more than both systems hold
-        for end, out in (
+    async def test_a_call_whose_last_byte_is_still_buffered_is_recalled_and_never_sent(self):
+        body = b"b" * 32 * 1024 * 1024  # more than the buffers of both systems
+        for end, options in (
             (lambda: self.calls.cancel_unsent("a"), {}),
             (lambda: None, {"start_timeout": 0.3}),
         ):
-            self.calls.start("a", [item(body=body, **out)])
+            self.calls.start("a", [message(body=body, **options)])
             sock = await self.accept()
-            await self.heard(sock, b"\r\n\r\nb")
+            await self.receive_until(sock, b"\r\n\r\nb")
             end()
-            o = await self.next()
-            self.assertEqual(o.result, Result.NOT_SENT)
-            got = 0
+            outcome = await self.next_event()
+            self.assertEqual(outcome.result, Result.NOT_SENT)
+            received = 0
             with suppress(ConnectionResetError):
                 async with asyncio.timeout(3.0):
                     while data := await self.loop.sock_recv(sock, 1 << 20):
-                        got += len(data)
-            self.assertLess(got, len(body) - 1024)
+                        received += len(data)
+            self.assertLess(received, len(body) - 1024)
 
-    async def test_a_200_that_comes_before_our_last_byte_is_gone_delivers_nothing(self):
-        self.calls.start("a", [item(body=b"b" * 32 * 1024 * 1024)])
+    async def test_a_200_that_comes_before_the_last_byte_is_sent_delivers_nothing(self):
+        self.calls.start("a", [message(body=b"b" * 32 * 1024 * 1024)])
         sock = await self.accept()
-        await self.heard(sock, b"\r\n\r\nb")
+        await self.receive_until(sock, b"\r\n\r\nb")
         sock.send(http(200))
-        self.assertEqual((await self.next()).result, Result.BROKEN)
+        self.assertEqual((await self.next_event()).result, Result.BROKEN)
 
-    async def test_a_call_that_is_over_takes_nothing_back_from_the_next_on_its_connection(self):
-        self.calls.start("a", [item("first")])
+    async def test_a_finished_call_does_not_recall_the_next_on_its_connection(self):
+        self.calls.start("a", [message("first")])
         first = next(iter(self.calls.progress.values()))
         sock = await self.accept()
-        await self.heard(sock)
+        await self.receive_until(sock)
         sock.send(http(200))
-        self.assertEqual((await self.next()).result, Result.DELIVERED)
-        self.calls.start("a", [item("next", 1, body=b"b" * 32 * 1024 * 1024)])
-        await self.heard(sock, b"\r\n\r\nb")
-        self.assertTrue(self.calls.end_unless_sent(first))  # as in the turn of its end
+        self.assertEqual((await self.next_event()).result, Result.DELIVERED)
+        self.calls.start("a", [message("next", 1, body=b"b" * 32 * 1024 * 1024)])
+        await self.receive_until(sock, b"\r\n\r\nb")
+        self.assertTrue(self.calls.end_unless_sent(first))  # as in the loop iteration in which it ends
         self.assertFalse(next(iter(self.calls.progress.values())).recalled)
-        got = 0
-        while got < 32 * 1024 * 1024 - 65536:
-            got += len(await asyncio.wait_for(self.loop.sock_recv(sock, 1 << 20), 3.0))
+        received = 0
+        while received < 32 * 1024 * 1024 - 65536:
+            received += len(await asyncio.wait_for(self.loop.sock_recv(sock, 1 << 20), 3.0))
 
 
 if __name__ == "__main__":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's side: the list and its watch, notices, ends without a platform."""
+"""The platform: the list and its watch, notices, and final answers without a platform."""
 
 import asyncio
 import json
@@ -20,35 +20,36 @@
 from .helpers import http, listed, members, settings, stand_in
 
 
-class FromThePlatform(unittest.IsolatedAsyncioTestCase):
-    def test_a_removed_entry_may_leave_out_what_is_known(self):
-        at = members()
+class PlatformTest(unittest.IsolatedAsyncioTestCase):
+    def test_a_removed_row_may_leave_out_known_fields(self):
+        endpoints = members()
         row = {"name": "a", "status": "removed"}
-        update = at.apply_list({"index": 2, "snapshot": False, "endpoints": [row]})
+        update = endpoints.apply_list({"index": 2, "snapshot": False, "endpoints": [row]})
         self.assertEqual((update.endpoints[0].listed, update.endpoints[0].destination), (Listed.GONE, 7))
 
     def test_a_destination_outlives_its_endpoints_for_a_while(self):
         now = 5.0
-        at = Members(lambda: now)
-        at.apply_list(listed())
-        at.apply_list({"index": 2, "snapshot": False, "endpoints": [{"name": "a", "status": "removed"}]})
-        at.drop_removed()
-        self.assertEqual((at.rows, at.has(7)), ({}, True))
+        endpoints = Members(lambda: now)
+        endpoints.apply_list(listed())
+        removed = {"name": "a", "status": "removed"}
+        endpoints.apply_list({"index": 2, "snapshot": False, "endpoints": [removed]})
+        endpoints.drop_removed()
+        self.assertEqual((endpoints.rows, endpoints.has(7)), ({}, True))
         now = 66.0
-        self.assertEqual((at.has(7), at.emptied_at), (False, {}))
+        self.assertEqual((endpoints.has(7), endpoints.emptied_at), (False, {}))
 
-    async def test_at_the_bound_the_longest_idle_connection_makes_room(self):
-        told = asyncio.Queue()
+    async def test_at_the_limit_the_longest_idle_connection_is_evicted(self):
+        events = asyncio.Queue()
         server, address = await stand_in(lambda *_: http(200))
         clock = asyncio.get_running_loop().time
         calls = CallDispatcher(
-            settings(connection_idle=5.0), members(address=address), clock, told.put_nowait, 2
+            settings(connection_idle=5.0), members(address=address), clock, events.put_nowait, 2
         )
         for names in ("no", "p"):
             for name in names:
                 calls.start("a", [PushMessage(name, 0, 1.0, "", b"", None)])
-            await told.get()
-        oldest, *_ = sorted(calls.open_connections, key=lambda r: r.idle_since)
+            await events.get()
+        oldest, *_ = sorted(calls.open_connections, key=lambda c: c.idle_since)
         await asyncio.sleep(0.01)
         calls.evict_at_limit()
         await asyncio.sleep(0.01)
@@ -56,21 +57,21 @@
         await calls.close()
         server.close()
 
-    def test_one_that_is_listed_again_before_it_was_dropped_stays(self):
-        at, row = members(), listed()["endpoints"][0]
-        at.apply_list({**listed(index=2), "endpoints": []})
-        at.apply_list({"index": 3, "snapshot": False, "endpoints": [{**row, "name": "b"}, row]})
-        self.assertEqual((at.drop_removed(), sorted(at.rows)), (set(), ["a", "b"]))
+    def test_an_endpoint_listed_again_before_it_was_dropped_stays(self):
+        endpoints, row = members(), listed()["endpoints"][0]
+        endpoints.apply_list({**listed(index=2), "endpoints": []})
+        endpoints.apply_list({"index": 3, "snapshot": False, "endpoints": [{**row, "name": "b"}, row]})
+        self.assertEqual((endpoints.drop_removed(), sorted(endpoints.rows)), (set(), ["a", "b"]))
 
-    def test_odd_numbers_in_a_list_are_bad_rows_or_a_bad_list(self):
-        at, row = members(), listed()["endpoints"][0]
+    def test_infinite_numbers_make_a_bad_row_or_a_bad_list(self):
+        endpoints, row = members(), listed()["endpoints"][0]
         rows = [{**row, "weight": inf}, {**row, "group": inf}, {"name": "a", "weight": 2}]
-        update = at.apply_list({"index": 2, "snapshot": False, "endpoints": rows})
+        update = endpoints.apply_list({"index": 2, "snapshot": False, "endpoints": rows})
         self.assertEqual([(e.id, e.rate) for e in update.endpoints], [("a", 2.0)])
         with self.assertRaises(BadList):
-            at.apply_list({"index": inf, "snapshot": False, "endpoints": []})
+            endpoints.apply_list({"index": inf, "snapshot": False, "endpoints": []})
 
-    async def test_an_answer_of_the_platform_without_bounds_is_given_up(self):
+    async def test_an_answer_of_the_platform_over_the_size_limit_is_abandoned(self):
         server, address = await stand_in(lambda *_: http(200, b"x" * (MAX_ANSWER_BYTES + 1)))
         platform = PlatformClient(address)
         with self.assertRaises(aiohttp.ClientError):
@@ -78,45 +79,46 @@
         await platform.close()
         server.close()
 
-    def test_an_entry_that_cannot_be_read_hides_no_other(self):
-        at = members()
+    def test_a_row_that_cannot_be_read_does_not_affect_the_others(self):
+        endpoints = members()
         rows = [{"status": "up"}, 5, {"name": "b", "status": "up"}, {"name": "a", "status": "odd"}]
-        update = at.apply_list({"index": 3, "snapshot": False, "endpoints": rows})
+        update = endpoints.apply_list({"index": 3, "snapshot": False, "endpoints": rows})
         self.assertEqual([(e.id, e.listed) for e in update.endpoints], [("a", Listed.DRAINING)])
         with self.assertRaises(BadList):
-            at.apply_list({"index": "x"})
+            endpoints.apply_list({"index": "x"})
 
-    async def test_the_watch_goes_on_after_a_bad_answer(self):
-        answers, told = [http(500), http(200, b"{"), None], asyncio.Queue()
+    async def test_the_watch_continues_after_a_bad_answer(self):
+        answers, updates = [http(500), http(200, b"{"), None], asyncio.Queue()
         good = b'{"index":5,"snapshot":false,"endpoints":[{"name":"a","status":"draining"}]}'
         server, address = await stand_in(lambda *_: answers.pop(0) if answers else http(200, good))
-        at, platform = members(), PlatformClient(address)
-        task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
-        for left in (2, 1):  # a registry that fails is not asked again before it is decided
-            self.assertTrue((await asyncio.wait_for(told.get(), 3.0)).failed)
+        endpoints, platform = members(), PlatformClient(address)
+        task = asyncio.ensure_future(watch(platform, endpoints, updates.put_nowait))
+        for left in (2, 1):  # after a failure there is no request before a refresh is requested
+            self.assertTrue((await asyncio.wait_for(updates.get(), 3.0)).failed)
             await asyncio.sleep(0.25)
             self.assertEqual(len(answers), left)
             platform.refresh_requested.set()
-        update = await asyncio.wait_for(told.get(), 3.0)
+        update = await asyncio.wait_for(updates.get(), 3.0)
         task.cancel()
         await platform.close()
         server.close()
-        self.assertEqual((update.endpoints[0].listed, at.index), (Listed.DRAINING, 5))
+        self.assertEqual((update.endpoints[0].listed, endpoints.index), (Listed.DRAINING, 5))
 
-    async def test_a_registry_that_hangs_or_talks_nonsense_leaves_the_old_list_and_is_told_as_failed(self):
-        odd = (b"[]", b'{"index":"x"}', b"[" * 9000, b'{"index":1,"endpoints":5}')
-        for said in (b"", None, http(503), *(http(200, body) for body in odd)):
-            server, address = await stand_in(lambda *_, said=said: said)
-            at, told, platform = members(), asyncio.Queue(), PlatformClient(address)
+    async def test_a_silent_or_malformed_registry_leaves_the_old_list_and_a_failure_is_published(self):
+        malformed = (b"[]", b'{"index":"x"}', b"[" * 9000, b'{"index":1,"endpoints":5}')
+        for answer in (b"", None, http(503), *(http(200, body) for body in malformed)):
+            server, address = await stand_in(lambda *_, answer=answer: answer)
+            endpoints, updates, platform = members(), asyncio.Queue(), PlatformClient(address)
             with patch("ryestack.membership.following.GRACE_S", 0.1):
-                task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
-                update = await asyncio.wait_for(told.get(), 3.0)
+                task = asyncio.ensure_future(watch(platform, endpoints, updates.put_nowait))
+                update = await asyncio.wait_for(updates.get(), 3.0)
             task.cancel()
             await platform.close()
             server.close()
-            self.assertEqual((update.failed, update.endpoints, at.listed_names()), (True, (), ["a"]), said)
+            found = update.failed, update.endpoints, endpoints.listed_names()
+            self.assertEqual(found, (True, (), ["a"]), answer)
 
-    async def test_notices_are_sent_until_taken_and_a_bad_one_holds_up_none(self):
+    async def test_notices_are_sent_until_accepted_and_a_bad_one_does_not_block_the_others(self):
         done, bodies = asyncio.Queue(), []
 
         def answer(_, body):
@@ -136,32 +138,32 @@
         self.assertEqual(names, [["n"], ["o"]])
         self.assertEqual(bodies[1], b'{"id":"n","state":"returned","after_ms":5}\n')
 
-    async def test_a_move_breaks_off_the_watch_and_asks_for_the_whole_list_at_the_new_address(self):
-        heads, told = asyncio.Queue(), asyncio.Queue()
-        new = json.dumps(listed(index=2)).encode()  # a version below the old one's
+    async def test_a_move_aborts_the_watch_and_requests_the_whole_list_at_the_new_address(self):
+        heads, updates = asyncio.Queue(), asyncio.Queue()
+        new = json.dumps(listed(index=2)).encode()  # a lower version than the old registry's
         old_server, old = await stand_in(lambda head, _: heads.put_nowait(head) or b"")
         server, address = await stand_in(lambda head, _: heads.put_nowait(head) or http(200, new))
-        at, platform = members(index=9), PlatformClient(old)
-        task = asyncio.ensure_future(watch(platform, at, told.put_nowait))
+        endpoints, platform = members(index=9), PlatformClient(old)
+        task = asyncio.ensure_future(watch(platform, endpoints, updates.put_nowait))
         self.assertIn(b"from=9", await heads.get())
         self.assertTrue(platform.move(address))
-        update = await asyncio.wait_for(told.get(), 1.0)
+        update = await asyncio.wait_for(updates.get(), 1.0)
         task.cancel()
         await platform.close()
         old_server.close()
         server.close()
-        self.assertEqual((update.whole, at.index), (True, 2))
+        self.assertEqual((update.whole, endpoints.index), (True, 2))
         self.assertIn(b"/catalog/members HTTP", await heads.get())
 
-    async def test_a_notice_on_its_way_at_a_move_is_sent_anew(self):
-        done, seen = asyncio.Queue(), asyncio.Queue()
-        old_server, old = await stand_in(lambda *_: seen.put_nowait(1) or b"")
+    async def test_a_notice_in_flight_at_a_move_is_sent_again(self):
+        done, requests = asyncio.Queue(), asyncio.Queue()
+        old_server, old = await stand_in(lambda *_: requests.put_nowait(1) or b"")
         server, address = await stand_in(lambda *_: http(204))
         platform = PlatformClient(old)
         notices = PlatformNotices(platform, done.put_nowait)
         notices.add("n", {"state": "failed"})
         task = asyncio.ensure_future(notices.run())
-        await seen.get()
+        await requests.get()
         platform.move(address)
         self.assertEqual(await asyncio.wait_for(done.get(), 1.0), ["n"])
         task.cancel()
@@ -170,34 +172,34 @@
         server.close()
 
 
-class WithoutThePlatform(unittest.IsolatedAsyncioTestCase):
-    async def test_ends_into_a_file_are_told_once_they_are_there_and_wait_for_room(self):
+class WithoutPlatformTest(unittest.IsolatedAsyncioTestCase):
+    async def test_notices_in_a_file_are_reported_once_stored_and_retried_after_errors(self):
         with tempfile.TemporaryDirectory() as folder:
-            told, path = [], f"{folder}/none/ends"
-            ends = FileNotices(path, told.extend)
-            ends.add("n", {"state": "failed"})
-            task = asyncio.ensure_future(ends.run())
+            stored, path = [], f"{folder}/none/ends"
+            notices = FileNotices(path, stored.extend)
+            notices.add("n", {"state": "failed"})
+            task = asyncio.ensure_future(notices.run())
             await asyncio.sleep(0.05)
-            self.assertEqual((told, ends.pending_count()), ([], 1))
-            ends.path = f"{folder}/ends"
-            with open(ends.path, "w") as file:
+            self.assertEqual((stored, notices.pending_count()), ([], 1))
+            notices.path = f"{folder}/ends"
+            with open(notices.path, "w") as file:
                 file.write('{"id": "torn by a k')
-            ends.add("m", {"state": "returned", "after_ms": 5})
+            notices.add("m", {"state": "returned", "after_ms": 5})
             async with asyncio.timeout(5.0):
-                while len(told) < 2:
+                while len(stored) < 2:
                     await asyncio.sleep(0.02)
             task.cancel()
-            with open(ends.path) as file:
+            with open(notices.path) as file:
                 self.assertEqual([json.loads(line)["id"] for line in list(file)[1:]], ["n", "m"])
 
-    async def test_a_fixed_list_asks_nobody(self):
+    async def test_a_fixed_list_requests_nothing(self):
         platform = PlatformClient("127.0.0.1:9")
-        fixed, told = FixedDirectory(platform, listed()), []
+        fixed, updates = FixedDirectory(platform, listed()), []
         self.assertEqual([e.id for e in fixed.initial_list().endpoints], ["a"])
         with self.assertRaises(TimeoutError):
-            await asyncio.wait_for(fixed.run(told.append), 0.05)
+            await asyncio.wait_for(fixed.run(updates.append), 0.05)
         await platform.close()
-        self.assertEqual(told, [])
+        self.assertEqual(updates, [])
 
 
 if __name__ == "__main__":
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -1,4 +1,4 @@
-"""The library that makes system calls fail: each fault strikes as told, where it is told, and is counted."""
+"""The library that makes system calls fail: each fault occurs as set, only there, and is counted."""
 
 import errno
 import os
@@ -13,13 +13,13 @@
 
 PROBE = """
 import os, socket, sys, time
-folder, what = sys.argv[1:]
-def told(call):
+folder, operation = sys.argv[1:]
+def result_of(call):
     try:
         return call()
-    except OSError as problem:
-        return -problem.errno
-def listen():
+    except OSError as error:
+        return -error.errno
+def accept():
     server = socket.create_server(("127.0.0.1", 0))
     client = socket.create_connection(server.getsockname())
     return server.accept() and 0
@@ -28,11 +28,11 @@
     return os.write(fd, b"x" * 100)
 print({
     "clock": lambda: round(time.time() - float(os.environ["NOW"])),
-    "accept": lambda: told(listen),
-    "write": lambda: told(lambda: write(f"{folder}/state/file")),
-    "elsewhere": lambda: told(lambda: write(f"{folder}/file")),
-    "create": lambda: told(lambda: write(f"{folder}/state/new")),
-}[what]())
+    "accept": lambda: result_of(accept),
+    "write": lambda: result_of(lambda: write(f"{folder}/state/file")),
+    "elsewhere": lambda: result_of(lambda: write(f"{folder}/file")),
+    "create": lambda: result_of(lambda: write(f"{folder}/state/new")),
+}[operation]())
 """
 
 
@@ -48,8 +48,9 @@
     def tearDownClass(cls):
         cls.temporary.cleanup()
 
-    def probe(self, what: str) -> int:
-        command = [sys.executable, "-c", PROBE, str(self.folder), what]
+    def probe(self, operation: str) -> int:
+        """The result of one operation in a process of its own, or minus its errno."""
+        command = [sys.executable, "-c", PROBE, str(self.folder), operation]
         environment = {**os.environ, **self.control.environment(self.library, self.folder / "state")}
         environment["NOW"] = str(time.time())
         done = subprocess.run(command, env=environment, capture_output=True, check=True, timeout=30)
@@ -60,18 +61,18 @@
         self.addCleanup(self.control.close)
         (self.folder / "state" / "file").write_bytes(b"")
 
-    def test_the_wall_clock_is_stepped_for_the_process_alone(self):
+    def test_the_wall_clock_is_stepped_for_that_process_only(self):
         self.control.step_wall_clock(-3600.0)
         self.assertAlmostEqual(self.probe("clock"), -3600, delta=5)
 
-    def test_a_call_fails_as_told_and_is_counted(self):
+    def test_a_call_fails_as_set_and_is_counted(self):
         self.control.set(Fault.ACCEPT_FAILS, 1.0, errno.ENFILE)
         self.assertEqual(self.probe("accept"), -errno.ENFILE)
         self.assertEqual(self.control.injected(), {"ACCEPT_FAILS": 1})
         self.control.clear()
         self.assertEqual(self.probe("accept"), 0)
 
-    def test_writes_fail_or_stay_short_in_the_named_folder_only(self):
+    def test_writes_fail_or_are_short_in_the_given_folder_only(self):
         self.control.set(Fault.WRITE_FAILS, 1.0, errno.ENOSPC)
         self.assertEqual(self.probe("write"), -errno.ENOSPC)
         self.assertEqual(self.probe("elsewhere"), 100)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Clients, and the forms of the wire."""
+"""The listener for clients, and the formats of headers and bodies."""
 
 import asyncio
 import re
@@ -22,51 +22,53 @@
 RAW = "\r\n".join([*LINES, "", ""]).encode()
 
 
-class FromClients(unittest.IsolatedAsyncioTestCase):
+class ClientListenerTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.got, self.gone, self.verdict = [], [], (Verdict.ACCEPTED, 0.0)
+        self.submitted, self.withdrawn, self.verdict = [], [], (Verdict.ACCEPTED, 0.0)
         clock = asyncio.get_running_loop().time
         terms = Terms(settings())
-        self.clients = ClientListener(settings(), terms, members(), clock, self.take, self.gone.append, 50)
+        self.clients = ClientListener(
+            settings(), terms, members(), clock, self.submit, self.withdrawn.append, 50
+        )
         await self.clients.listen("127.0.0.1", 0)
         self.clients.ready = True
         host, port = self.clients.listener.sockets[0].getsockname()
-        self.at, self.base = (host, port), f"http://{host}:{port}"
+        self.address, self.base_url = (host, port), f"http://{host}:{port}"
 
     async def asyncTearDown(self):
         self.clients.stop_listening()
         await self.clients.server.shutdown(0.1)
 
-    def take(self, message):
-        self.got.append(message)
+    def submit(self, message):
+        self.submitted.append(message)
         if self.verdict:
             message.verdict.set_result(self.verdict)
 
     async def post(self, path="/api", method="POST", data=b"x", **head):
         head = {k: v for k, v in {**HEAD, **{k.replace("_", "-"): v for k, v in head.items()}}.items()}
-        async with aiohttp.request(method, self.base + path, headers=head, data=data) as answer:
+        async with aiohttp.request(method, self.base_url + path, headers=head, data=data) as answer:
             await answer.read()
             return answer
 
-    async def test_taken_on(self):
+    async def test_a_valid_submission_is_accepted(self):
         self.assertEqual((await self.post(data=b"\x00\xff")).status, ACCEPTED)
-        [message] = self.got
+        [message] = self.submitted
         found = message.notification.id, message.notification.destination, message.body
         self.assertEqual(found, ("n", 7, b"\x00\xff"))
         self.assertTrue(await message.acknowledged)
 
-    async def test_a_body_stays_the_bytes_that_came(self):
+    async def test_a_body_is_not_decompressed(self):
         for body in (zlib.compress(b"x" * 99), b"\x00no such coding"):
             self.assertEqual((await self.post(data=body, Content_Encoding="deflate")).status, ACCEPTED)
-            self.assertEqual(self.got.pop().body, body)
+            self.assertEqual(self.submitted.pop().body, body)
 
-    async def test_throttled_at_once_with_a_time_to_come_back(self):
+    async def test_a_throttled_submission_gets_retry_after(self):
         self.verdict = (Verdict.THROTTLED, 0.25)
         answer = await self.post()
         self.assertEqual((answer.status, answer.headers["Retry-After"]), (503, "0.250"))
-        self.assertEqual(self.gone, [])
+        self.assertEqual(self.withdrawn, [])
 
-    async def test_bad_input_takes_nothing_on(self):
+    async def test_bad_input_is_not_submitted(self):
         for status, change in (
             (400, {"X_Envelope": "dest=8"}), (400, {"X_Envelope": "dest=x"}), (400, {"X_Envelope": ""}),
             (400, {"X_Class": "none"}), (400, {"X_Deadline": "5s"}), (400, {"X_Deadline": "-5m"}),
@@ -74,20 +76,20 @@
             (404, {"path": "/other"}), (405, {"method": "GET"}), (413, {"data": b"x" * 65537}),
         ):
             self.assertEqual((await self.post(**change)).status, status, change)
-        self.assertEqual(self.got, [])
+        self.assertEqual(self.submitted, [])
 
-    async def test_nonsense_and_half_a_body_leave_it_serving(self):
+    async def test_malformed_bytes_and_an_incomplete_body_leave_it_serving(self):
         for raw in (b"\x16\x03\x01\r\n\r\n", RAW % 9 + b"x"):
-            _, writer = await asyncio.open_connection(*self.at)
+            _, writer = await asyncio.open_connection(*self.address)
             writer.write(raw)
             await writer.drain()
             writer.close()
         self.assertEqual((await self.post()).status, ACCEPTED)
-        self.assertEqual(len(self.got), 1)
+        self.assertEqual(len(self.submitted), 1)
 
     async def raw(self, *parts, wait=0.0):
-        """What comes back, to the end of the connection."""
-        reader, writer = await asyncio.open_connection(*self.at)
+        """All bytes received, to the end of the connection; empty after a reset."""
+        reader, writer = await asyncio.open_connection(*self.address)
         for part in parts:
             writer.write(part)
             await asyncio.sleep(wait)
@@ -98,92 +100,92 @@
         finally:
             writer.close()
 
-    async def test_what_cannot_be_read_or_hides_a_request_is_refused_and_closed(self):
-        head, length, end = RAW % 0, b"Content-Length: 0", b"0\r\n\r\n"
+    async def test_malformed_requests_and_request_smuggling_are_refused_and_closed(self):
+        head, length, last_chunk = RAW % 0, b"Content-Length: 0", b"0\r\n\r\n"
         for raw in (
             b"\x16\x03\x01\r\n\r\n",
             head.replace(length, b"Content-Length: -4"),
             head.replace(length, b"Content-Length: 4\r\nContent-Length: 9"),
             head.replace(length, b"Content-Length: 60000000") + b"x" * 100_000,
-            head.replace(length, b"Content-Length: 9\r\nTransfer-Encoding: chunked") + end,
-            head.replace(length, b"Transfer-Encoding: chunked\r\nContent-Length: 9") + end,
+            head.replace(length, b"Content-Length: 9\r\nTransfer-Encoding: chunked") + last_chunk,
+            head.replace(length, b"Transfer-Encoding: chunked\r\nContent-Length: 9") + last_chunk,
             head.replace(b"Host: x", b"X-Pad: " + b"p" * 200_000),
         ):
-            said = await self.raw(raw)
-            self.assertIn(said[9:12], (b"400", b"413", b""), raw[:200])
+            received = await self.raw(raw)
+            self.assertIn(received[9:12], (b"400", b"413", b""), raw[:200])
         self.assertEqual((await self.post("/api?v=1")).status, 404)
-        self.assertEqual(self.got, [])
+        self.assertEqual(self.submitted, [])
 
-    async def test_noise_behind_an_open_request_ends_the_connection_behind_its_answer(self):
-        """A request that was read is answered, whatever its client sends next; nothing behind it is read."""
+    async def test_malformed_bytes_behind_an_open_request_end_the_connection_after_its_answer(self):
+        """A request that was read is answered, whatever its client sends next; nothing after that is read."""
         self.verdict, loop = None, asyncio.get_running_loop()
         verdict = (Verdict.ACCEPTED, 0.0)
-        loop.call_later(0.15, lambda: self.got[0].verdict.set_result(verdict))
-        said = await self.raw(RAW % 1 + b"x", b"\x00\xff\r\n\r\n", RAW % 1 + b"x", wait=0.05)
-        statuses = re.findall(rb"HTTP/1\.\d (\d+)", said)
-        self.assertEqual((statuses, len(self.got), self.gone), ([b"202", b"400"], 1, []))
-
-    async def test_silence_an_endless_head_and_half_a_body_end_in_time(self):
-        begun = asyncio.get_running_loop().time()
-        said = await asyncio.gather(self.raw(b""), self.raw(RAW[:30]), self.raw(RAW % 9 + b"x"))
-        self.assertLess(asyncio.get_running_loop().time() - begun, 3.0)
-        self.assertEqual([part[9:12] for part in said], [b"", b"", b"408"])
-
-    async def test_too_much_at_once_is_refused(self):
+        loop.call_later(0.15, lambda: self.submitted[0].verdict.set_result(verdict))
+        received = await self.raw(RAW % 1 + b"x", b"\x00\xff\r\n\r\n", RAW % 1 + b"x", wait=0.05)
+        statuses = re.findall(rb"HTTP/1\.\d (\d+)", received)
+        self.assertEqual((statuses, len(self.submitted), self.withdrawn), ([b"202", b"400"], 1, []))
+
+    async def test_silence_an_incomplete_head_and_an_incomplete_body_end_within_the_limit(self):
+        began = asyncio.get_running_loop().time()
+        received = await asyncio.gather(self.raw(b""), self.raw(RAW[:30]), self.raw(RAW % 9 + b"x"))
+        self.assertLess(asyncio.get_running_loop().time() - began, 3.0)
+        self.assertEqual([part[9:12] for part in received], [b"", b"", b"408"])
+
+    async def test_too_many_incomplete_bodies_are_refused(self):
         self.clients.incomplete_body_bytes = MAX_INCOMPLETE_BODY_BYTES
         self.assertEqual((await self.post()).status, UNAVAILABLE)
         self.assertEqual(self.clients.incomplete_body_bytes, MAX_INCOMPLETE_BODY_BYTES)
 
-    async def test_at_the_bound_the_oldest_idle_connection_makes_room(self):
+    async def test_at_the_limit_the_oldest_idle_connection_is_evicted(self):
         self.clients.max_connections = 3
-        idle = [await asyncio.open_connection(*self.at) for _ in range(3)]
+        idle = [await asyncio.open_connection(*self.address) for _ in range(3)]
         await asyncio.sleep(0.05)
         self.assertEqual((await self.post()).status, ACCEPTED)
         self.assertEqual(await asyncio.wait_for(idle[0][0].read(), 1.0), b"")
         for _, writer in idle:
             writer.close()
 
-    async def test_a_client_gone_before_its_answer_withdraws(self):
+    async def test_a_submission_whose_client_disconnects_before_the_answer_is_withdrawn(self):
         self.verdict = None
-        _, writer = await asyncio.open_connection(*self.at)
+        _, writer = await asyncio.open_connection(*self.address)
         writer.write(RAW % 1 + b"x")
-        while not self.got:
+        while not self.submitted:
             await asyncio.sleep(0.01)
         writer.transport.abort()
         await asyncio.sleep(0.05)
-        self.got[0].verdict.set_result((Verdict.ACCEPTED, 0.0))
-        self.assertFalse(await self.got[0].acknowledged)
-        self.assertEqual(self.gone, ["n"])
+        self.submitted[0].verdict.set_result((Verdict.ACCEPTED, 0.0))
+        self.assertFalse(await self.submitted[0].acknowledged)
+        self.assertEqual(self.withdrawn, ["n"])
 
     async def test_health_follows_readiness_and_idle_connections_end_with_the_listener(self):
-        reader, writer = await asyncio.open_connection(*self.at)
-        for ready, said in ((True, b"200"), (False, b"503")):
+        reader, writer = await asyncio.open_connection(*self.address)
+        for ready, status in ((True, b"200"), (False, b"503")):
             self.clients.ready = ready
             writer.write(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-            self.assertIn(said, (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")[0])
+            self.assertIn(status, (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")[0])
             await reader.readline()
         self.clients.stop_listening()
         self.assertEqual(await asyncio.wait_for(reader.read(), 1.0), b"")
         writer.close()
 
 
-class Forms(unittest.TestCase):
-    def test_durations_have_a_unit(self):
+class FormsTest(unittest.TestCase):
+    def test_a_duration_needs_a_unit(self):
         self.assertAlmostEqual(forms.parse_duration("1500u"), 0.0015)
         for bad in ("", "5", "m", "1e3m", "٣m"):
             with self.assertRaises(forms.BadForm):
                 forms.parse_duration(bad)
 
-    def test_the_destination_among_other_fields(self):
+    def test_the_destination_is_found_among_other_fields(self):
         self.assertEqual(forms.parse_destination("v=1; dest=12"), 12)
         with self.assertRaises(forms.BadForm):
             forms.parse_destination("xdest=12")
 
-    def test_a_report_that_cannot_be_read_is_none(self):
+    def test_a_report_that_cannot_be_read_is_empty(self):
         reports = [forms.load_report(text) for text in (None, "{", "[1]", '{"x1":2}')]
         self.assertEqual(reports, [{}, {}, {}, {"x1": 2}])
 
-    def test_an_empty_list_is_a_list(self):
+    def test_an_empty_list_is_valid(self):
         self.assertEqual(Members().apply_list({**listed(), "endpoints": []}).endpoints, ())
 
 
