--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -152,7 +152,7 @@
     module.round(11.85, [end("n1", "a", Result.ERROR)])
     for i in range(20):
         assert not pushes(module.round(12.0 + i / 10, [take(f"m{i}", due=40.0), interface.Woken()]))
-    assert pushes(module.round(14.1, [interface.ListUpdate()]))  # nothing had changed: the list is valid again
+    assert pushes(module.round(14.1, [interface.ListUpdate()]))  # unchanged: the list is valid again
 
 
 def test_where_lists_are_pushed_a_silent_agent_does_not_stop_pushes():
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -35,14 +35,14 @@
 
 class AvoidedEndpoints(unittest.TestCase):
     def test_failing_and_draining_endpoints_are_avoided(self):
-        b = brain(routes=("a", "b", "c"), made=Watched)
-        self.assertEqual(b.avoided(["a", "b", "c", "unknown"]), [])
-        b.round(1.0, [take(f"n{i}") for i in range(3)])
-        b.round(1.1, [end(f"n{i}", "a", Result.ERROR) for i in range(3)])
+        module = brain(routes=("a", "b", "c"), made=Watched)
+        self.assertEqual(module.avoided(["a", "b", "c", "unknown"]), [])
+        module.round(1.0, [take(f"n{i}") for i in range(3)])
+        module.round(1.1, [end(f"n{i}", "a", Result.ERROR) for i in range(3)])
         drained = interface.Endpoint("b", "z", "shared", 7, interface.Listed.DRAINING, 50.0)
-        b.round(1.2, [interface.ListUpdate((drained,))])
-        self.assertEqual(b.avoided(["a", "b", "c"]), ["a", "b"])
-        self.assertEqual(b.avoided(["c"]), [])
+        module.round(1.2, [interface.ListUpdate((drained,))])
+        self.assertEqual(module.avoided(["a", "b", "c"]), ["a", "b"])
+        self.assertEqual(module.avoided(["c"]), [])
 
 
 class MetricsText(unittest.TestCase):
