--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -193,8 +193,7 @@
         self.assertEqual((outcome.result, outcome.wait), (Result.BROKEN, 0.25))
 
     async def test_bytes_on_an_idle_connection_are_no_answer_to_the_next_call(self):
-        events = asyncio.Queue()
-        answers = [http(200), http(503)]
+        events, answers = asyncio.Queue(), [http(200), http(503)]
         server, address = await stand_in(lambda *_: answers.pop())
         clock, endpoints = asyncio.get_running_loop().time, members(address=address)
         calls = CallDispatcher(settings(connection_idle=5.0), endpoints, clock, events.put_nowait, 50)
