--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -26,7 +26,7 @@
 from .control_server import ControlServer, until
 from .helpers import config, http, stand_in
 from .test_lifecycle import Program
-from .test_staff import read
+from .test_staff import parse_metrics
 
 PLACE = json.dumps({"region": "eu", "zone": "a"}).encode()
 
@@ -72,7 +72,7 @@
 
     async def figure(self, name):
         async with aiohttp.request("GET", f"http://{self.ops}/-/metrics") as answer:
-            return read(await answer.text())[f"lb_{name}", ()]
+            return parse_metrics(await answer.text())[f"lb_{name}", ()]
 
     async def applied(self, version):
         """Until the relay has acknowledged it."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -55,19 +55,19 @@
         await task
         self.assertGreater(len(seen), 30)
         self.assertEqual((set(seen), self.says), ({ACCEPTED}, {200}))
-        while (await self.figures())["lb_in_progress", ()]:
+        while (await self.metrics())["lb_in_progress", ()]:
             await asyncio.sleep(0.02)
-        self.assertEqual(self.seen, len(seen))  # each once
+        self.assertEqual(self.calls, len(seen))  # each once
         self.assertEqual([f for f in os.listdir(self.folder) if f.startswith("owed")], ["owed"])
 
     async def test_the_old_one_killed_the_new_one_owes_what_it_owed(self):
-        self.failing = http(429, X_Retry_In_Ms="2500")
+        self.answer = http(429, X_Retry_In_Ms="2500")
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "n"}), ACCEPTED)
         first = await self.second()
         first.kill()
         await first.wait()
         await asyncio.sleep(0.5)
-        self.failing = b""
+        self.answer = b""
         await self.until(handled("again", "passed"), 1)
         gaps = [later - before for before, later in zip(self.times, self.times[1:], strict=False)]
         self.assertGreater(min(gaps), 2.4)  # the wait holds for both of them
