--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,3 +1,5 @@
+"""The adapter to the bench: inputs that it must accept, and requests for the list."""
+
 import io
 import json
 import unittest
@@ -17,7 +19,7 @@
 
 
 def play(*batches):
-    """The replies to batches of (clock in ms, events), after one that starts relay 3 with two endpoints."""
+    """The replies to batches of (clock in ms, events); an earlier batch starts relay 3 with two endpoints."""
     rows = [[e, z, "shared", 7, 1, 50.0, None] for e, z in (("a", "x"), ("b", "y"))]
     begun = (0.0, [["Up", 3, 9, OPTIONS], ["Catalog", 0, rows], ["Sync", 3, 2, 1, 0]])
     lines = []
@@ -35,10 +37,10 @@
     return replies
 
 
-class OddInput(unittest.TestCase):
-    """A relay that lacks tenants, reports or notes, or is told nonsense in them, is an ordinary one."""
+class Inputs(unittest.TestCase):
+    """Missing or unusable tenants, reports, rates and notes change nothing for a relay."""
 
-    def test_notes_of_any_bytes_change_nothing(self):
+    def test_notes_of_any_bytes_are_ignored(self):
         incoming = ["Incoming", 3, "n", 9000.0, None, 7, "again"]
         notes = [["Whisper", 3, 4, octets] for octets in ("", "00", "zz", "f" * 9001, "68692037")]
         plain = play((100.0, [incoming]), (900.0, [["Timer", 3, 0]]))
@@ -46,7 +48,7 @@
         self.assertEqual(noisy, plain)
         self.assertIn(["Route", 3, "n"], [line[:3] for line in sum(plain, [])])
 
-    def test_a_missing_party_and_odd_reports_are_ordinary(self):
+    def test_missing_party_and_unusable_reports_are_accepted(self):
         first = play((100.0, [["Incoming", 3, "n", 9000.0, None, 7, "again"]]), (900.0, [["Timer", 3, 0]]))
         [route] = [line for line in sum(first, []) if line[0] == "Route"]
         odd = (None, {}, {"x0": -1, "x1": 2}, {"x0": 1e999, "x1": "a"}, {"x1": -5}, {"x0": True, "x1": 0})
@@ -57,7 +59,7 @@
             said = sum(play(*batches), [])
             self.assertNotIn("Fatal", [line[0] for line in said], report)
 
-    def test_odd_rates_in_a_list_raise_nothing(self):
+    def test_unusable_rates_in_a_list_are_accepted(self):
         for rate in (-5, 0, 1e308, float("inf"), float("nan"), 10**400, 5e-324):
             rows = [["c", "x", "shared", 8, 1, rate, None]]
             asked = (100.0, [["Incoming", 3, "n", 9000.0, None, 8, "again"]])
@@ -67,16 +69,17 @@
             self.assertNotIn("Fatal", [line[0] for line in lines], rate)
             self.assertIn(["Route", 3, "n", "c"], [line[:4] for line in lines], rate)
 
-    def test_asking_spreads_and_backs_off_and_a_broken_subscription_is_renewed(self):
+    def test_list_requests_spread_and_back_off_and_broken_subscriptions_are_renewed(self):
         ticks = [(10.0 * i, [["Timer", 3, 0]]) for i in range(1, 3000)]
-        broken = {200: 1, 500: 2, 1200: 3}  # ticks at which an asking fails, or what it began breaks
+        # Ticks at which a request, or the subscription that it began, fails.
+        broken = {200: 1, 500: 2, 1200: 3}
         batches = [(at, [["Sync", 3, 3, 0, 0], *events] if n in broken else events)
                    for n, (at, events) in enumerate(ticks)]
         said = play(*batches)
         asked = [n for n, reply in enumerate(said) if any(line[0] == "Subscribe" for line in reply)]
         self.assertEqual(len(asked), 4)
-        self.assertTrue(0 < asked[0] <= 101, asked)  # not all at their start
-        # Further apart each time, but what a registry that is back hid counts as told six seconds after that.
+        self.assertTrue(0 < asked[0] <= 101, asked)  # relays do not all ask when they start
+        # Further apart each time, but a change counts as known six seconds after the registry is back.
         self.assertTrue(all(50 <= asked[i] - n <= 351 for i, n in enumerate(broken, 1)), asked)
         self.assertGreater(asked[3] - 1200, 170)
 
--- a/tests/test_blind_restart.py
+++ b/tests/test_blind_restart.py
@@ -1,4 +1,4 @@
-"""A kill within an outage: the next life must not push over a partner that came back cold meanwhile."""
+"""A kill within an outage: the next process must not overload a partner that came back cold meanwhile."""
 
 import asyncio
 import json
@@ -12,12 +12,12 @@
 from .helpers import Folder, config, end, http, pushes, settings, stand_in, take
 from .helpers import brain as made_brain
 
-RATE = 50.0  # calls a second that the list tells
+RATE = 50.0  # calls a second, from the list
 
 
-class Blind(Folder, unittest.IsolatedAsyncioTestCase):
-    async def life(self, fails: bool):
-        """A relay's state as a kill leaves it, so many failures into an outage; returns the next life's."""
+class KilledInAnOutage(Folder, unittest.IsolatedAsyncioTestCase):
+    async def rate_after_a_kill(self, fails: bool):
+        """Leaves a relay's state as a kill does, after failures or none; returns the next process's rate."""
         server, agent = await stand_in(lambda *_: http(503))
         path = config(self.folder, agent)
         relay = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
@@ -33,27 +33,27 @@
                 acts = owner.brain.round(relay.clock() + n * 0.01, [each])
                 for name, route in pushes(acts):
                     owner.brain.round(relay.clock() + n * 0.01, [end(name, route, Result.NO_CONNECTION)])
-        await asyncio.sleep(0.5)  # well within the time between two regular copies
+        await asyncio.sleep(0.5)  # well below the interval of regular saves
         saving.cancel()
         await relay.close()
         again = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
         await again.happen("begun")
-        found = again.owner.brain.routes["a"].limiter.rate(again.clock())
+        rate = again.owner.brain.routes["a"].limiter.rate(again.clock())
         await again.close()
         server.close()
-        return found
+        return rate
 
-    async def test_what_had_just_begun_to_fail_is_met_as_one_that_comes_back_cold(self):
-        warm = await self.life(fails=False)
+    async def test_destination_that_had_just_begun_to_fail_counts_as_cold(self):
+        warm = await self.rate_after_a_kill(fails=False)
         self.assertGreaterEqual(warm, RATE)
-        cold = await self.life(fails=True)
+        cold = await self.rate_after_a_kill(fails=True)
         rules = settings().rules
         self.assertLess(cold, RATE * rules.cold_share * rules.overload_factor)
 
 
-class Copied(unittest.TestCase):
-    def test_a_copy_from_within_an_outage_that_is_not_proven_yet_is_read_as_one_of_an_outage(self):
-        """Some failures among many deliveries prove nothing while one looks on: the next life does not."""
+class RestoredState(unittest.TestCase):
+    def test_state_saved_in_an_unproven_outage_counts_as_an_outage(self):
+        """Failures among many deliveries prove no outage in a running process; the next one can't tell."""
         b, now = made_brain(routes=("a",), rate=RATE), 1.0
         for n in range(20):
             b.round(now, [take(f"w{n}")])
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -1,4 +1,4 @@
-"""What was learnt outlives a kill: in the folder, of this machine's clock, and not for long."""
+"""Learned state is saved in the state folder, and restored after a kill: same boot, a short time later."""
 
 import zlib
 
@@ -15,7 +15,7 @@
 NOW, SOON = Moment(10.0, "boot"), Moment(12.0, "boot")
 
 
-def test_a_next_life_knows_what_a_kind_counts_how_long_partners_take_and_what_our_part_is(tmp_path):
+def test_refusal_cost_and_share_are_restored_after_a_restart(tmp_path):
     b = brain(routes=("a",), rate=50.0, relays=40)
     for n in range(6):
         [(name, route)] = pushes(b.round(1.0 + n, [take(f"n{n}", due=90.0)])) or [("", "")]
@@ -35,7 +35,7 @@
     [(12.0, "boot", True), (9.0, "boot", False), (90.0, "boot", False), (3.0, "boot", False),
      (12.0, "another", False), (12.0, "", False)],
 )
-def test_of_another_boot_or_long_ago_it_is_nothing(tmp_path, clock, boot, known):
+def test_state_of_another_boot_or_too_old_is_ignored(tmp_path, clock, boot, known):
     remembered.save(str(tmp_path), learned_state.export(Brain(settings(), 1)), "s", NOW)
     assert (remembered.load(str(tmp_path), "s", Moment(clock, boot)).learnt is not None) == known
     assert remembered.load(str(tmp_path), "other settings", Moment(clock, boot)).learnt is None
@@ -44,13 +44,13 @@
 @pytest.mark.parametrize(
     "data", [b"", b"[]", b"{", b'{"clock":"x","wall":1,"learnt":{}}', b"[" * 100_000, b"\xff"]
 )
-def test_a_file_that_makes_no_sense_is_nothing(tmp_path, data):
+def test_unreadable_file_is_ignored(tmp_path, data):
     for name in (remembered.NAME, remembered.FAILING):
         (tmp_path / name).write_bytes(data)
     assert remembered.load(str(tmp_path), "s", NOW) == remembered.Remembered(None, {})
 
 
-def test_a_damaged_file_is_nothing_though_it_reads_well(tmp_path):
+def test_damaged_file_is_ignored_though_it_parses(tmp_path):
     remembered.save(str(tmp_path), learned_state.export(Brain(settings(), 1)), "s", NOW)
     good = (tmp_path / remembered.NAME).read_bytes()
     assert remembered.load(str(tmp_path), "s", SOON).learnt is not None
@@ -58,13 +58,13 @@
     assert remembered.load(str(tmp_path), "s", SOON).learnt is None
 
 
-def test_what_is_too_large_or_has_no_folder_is_not_kept(tmp_path):
+def test_too_large_state_or_missing_folder_is_not_saved(tmp_path):
     remembered.save(str(tmp_path), {"x": "y" * remembered.MOST}, "s", NOW)
     remembered.save(str(tmp_path / "none"), {}, "s", NOW)
     assert not list(tmp_path.iterdir())
 
 
-def test_of_too_many_that_fail_the_last_ones_are_kept_within_the_allowance(tmp_path):
+def test_of_too_many_failing_routes_the_latest_are_kept(tmp_path):
     failing = {f"endpoint-{n}": 1_000_000.0 + n + 1 / 3 for n in range(5000)}
     remembered.save_failing(str(tmp_path), failing, NOW)
     size = (tmp_path / remembered.FAILING).stat().st_size
@@ -75,7 +75,7 @@
     )
 
 
-def test_what_fails_is_known_if_it_was_written_after_all_that_is_learnt(tmp_path):
+def test_failing_routes_count_if_saved_after_the_learned_state(tmp_path):
     folder, failing = str(tmp_path), {"a": 9.5}
     remembered.save_failing(folder, failing, Moment(9.9, "boot"))
     assert remembered.load(folder, "s", SOON) == remembered.Remembered(None, failing)
@@ -111,7 +111,7 @@
 }
 
 
-def test_what_an_older_build_wrote_is_restored_and_written_again_under_the_same_keys():
+def test_state_of_an_older_build_is_restored_and_saved_under_the_same_keys():
     made = brain(routes=("a",))
     learned_state.restore(made, WRITTEN_BY_AN_OLDER_BUILD)
     route, dest = made.routes["a"], made.destinations[7]
@@ -133,7 +133,7 @@
     assert learned_state.export(made) == WRITTEN_BY_AN_OLDER_BUILD
 
 
-def test_the_mark_of_the_settings_is_the_one_that_older_builds_write():
+def test_mark_of_the_settings_is_that_of_older_builds():
     """It holds the names of settings and classes: with a new name, an upgrade would drop what is learnt."""
     of_older_builds = 4197461813  # crc32 of the text, as written at revision a38065f
     assert zlib.crc32(learned_state.mark_text(settings()).encode()) == of_older_builds
