--- a/ryestack/brain/notifications.py
+++ b/ryestack/brain/notifications.py
@@ -74,7 +74,7 @@
             # key -> [notifications in order by id, until when the key rests]
             self.keys.setdefault(held.key, [{}, 0.0])[0][held.id] = held
         self.park_or_give_up(held)
-        # If it is not parked, giving it up makes no room.
+        # If it is not parked, giving it up frees no place.
         if held.state == "parked" and len(self.notifications) > self.settings.max_open * self.MAX_FILL:
             longest = max(self.waiting.values(), key=lambda d: (len(d.parked), -d.created)).parked.values()
             self.change_notification(
--- a/ryestack/brain/outcomes.py
+++ b/ryestack/brain/outcomes.py
@@ -148,7 +148,9 @@
             free = self.slots > 0 and dest.calls < self.slot_cap(dest)
             late = [c for c in self.late_calls if self.slots <= 0 or c.route.dest is dest]
             if wanted and not free and late:
-                # The call with the least benefit of once-only notifications, which a repeat cannot win back.
-                least = min(late, key=lambda c: sum(n.benefit for n, _ in c.items if n.topic.effect is ONCE))
-                del self.late_calls[least]
-                self.actions += [Cancel(n.id, push) for n, push in least.items]
+                # A cancelled push may have run, so that a once-only notification in it is lost.
+                cheapest = min(
+                    late, key=lambda c: sum(n.benefit for n, _ in c.items if n.topic.effect is ONCE)
+                )
+                del self.late_calls[cheapest]
+                self.actions += [Cancel(n.id, push) for n, push in cheapest.items]
--- a/ryestack/brain/rate_limiter.py
+++ b/ryestack/brain/rate_limiter.py
@@ -15,10 +15,10 @@
     # notifications it is 1, since waiting fills the calls.
     SHARE_GAIN = 1.5
     # Where refused calls use up a limit, the whole fleet must stay below it. The reported share that is left
-    # shows whether it does: below USED_UP_SHARE the gain is lowered, from AMPLE_SHARE on it is raised.
+    # shows whether it does: below USED_UP_SHARE the gain is lowered, from HIGH_SHARE on it is raised.
     # Reports within GAIN_INTERVAL_S count as one.
     MIN_GAIN, MAX_GAIN, GAIN_DECREASE, GAIN_INCREASE = 0.5, 3.0, 0.7, 1.2
-    USED_UP_SHARE, AMPLE_SHARE, GAIN_INTERVAL_S = 0.2, 0.5, 0.5
+    USED_UP_SHARE, HIGH_SHARE, GAIN_INTERVAL_S = 0.2, 0.5, 0.5
     # Relays keep their parts of the load for long; over 5 s, a single delivery of a relay with little load
     # would look like many.
     DELIVERED_HALF_LIFE_S = 30.0
@@ -48,7 +48,7 @@
         self.tokens = rng.random() ** (1.0 / self.reported_rate)  # a random choice of route, weighted by rate
         self.backoff, self.refusals, self.learned_gain = self.INITIAL_BACKOFF_S, 0, self.SHARE_GAIN
         self.last_call_at, self.reopens_at = 0.0, 0.0
-        self.ample, self.failing_since = False, min((p.failing_since for p in siblings), default=inf)
+        self.share_high, self.failing_since = False, min((p.failing_since for p in siblings), default=inf)
         self.wait_until = max((p.wait_until for p in siblings), default=0.0)
 
     def apply_settings(self, settings):
@@ -86,11 +86,11 @@
 
     def record_limit_left(self, share, now):
         """Adapts the gain to the reported share of the limit that is left."""
-        self.ample, due = share >= self.AMPLE_SHARE, now >= self.gain_changed_at + self.GAIN_INTERVAL_S
-        if self.dest.refusal_cost.proven and due and not self.USED_UP_SHARE <= share < self.AMPLE_SHARE:
+        self.share_high, due = share >= self.HIGH_SHARE, now >= self.gain_changed_at + self.GAIN_INTERVAL_S
+        if self.dest.refusal_cost.proven and due and not self.USED_UP_SHARE <= share < self.HIGH_SHARE:
             more = min(self.MAX_GAIN, self.learned_gain * self.GAIN_INCREASE)
             less = max(self.MIN_GAIN, min(1.0, self.learned_gain) * self.GAIN_DECREASE)
-            self.learned_gain, self.gain_changed_at = more if share >= self.AMPLE_SHARE else less, now
+            self.learned_gain, self.gain_changed_at = more if share >= self.HIGH_SHARE else less, now
 
     def rate(self, now):
         """Calls a second that may go now; while the destination is cold, this relay's part of its budget."""
@@ -125,12 +125,12 @@
     def may_borrow(self, now):
         """Whether calls are so few that each may go after a backoff instead of waiting for its token.
 
-        Where refused calls use up the limit, only while an ample share of it is left: else a fleet would keep
+        Where refused calls use up the limit, only while a high share of it is left: else a fleet would keep
         it used up.
         """
         limiters = {r.limiter for r in self.dest.route_list} if self.dest.refusal_cost.proven else ()
         few = sum(p.fair_share(now) for p in limiters) * self.connection_idle < self.SPARSE_CALLS
-        return few and not self.gathers(now) and (self.ample or not limiters)
+        return few and not self.gathers(now) and (self.share_high or not limiters)
 
     def is_sparse(self, now):
         """Whether calls are so few that they stay on the route whose connection is open: no refill."""
--- a/ryestack/brain/rounds.py
+++ b/ryestack/brain/rounds.py
@@ -189,9 +189,9 @@
             route.dest.calls += 1
             # With few slots, a call holds a larger part of them: it is overdue sooner.
             few = min(0.5, 2.0 / self.settings.slots**2)
-            least = min(self.MAX_MIN_OVERDUE_S - few, self.OVERDUE_FACTOR_ALL * self.durations.quantile(0.9))
+            floor = min(self.MAX_MIN_OVERDUE_S - few, self.OVERDUE_FACTOR_ALL * self.durations.quantile(0.9))
             self.schedule(
-                self.now + max(least, (self.OVERDUE_FACTOR - few) * duration), Outcomes.on_overdue, call
+                self.now + max(floor, (self.OVERDUE_FACTOR - few) * duration), Outcomes.on_overdue, call
             )
         call.items, call.pending = [*call.items, (held, push)], call.pending + 1
         call.due = min(call.due, held.due)
--- a/ryestack/brain/routes.py
+++ b/ryestack/brain/routes.py
@@ -52,9 +52,9 @@
 
 
 class Destination:
-    """A destination: its routes, its parked notifications, and what was learnt of it."""
+    """A destination: its routes, its parked notifications, and what was learned about it."""
 
-    # Retries after a refusal by a limit that each new notification allows, and the most that add up: with
+    # Retries after a refusal by a limit that each new notification allows, and the maximum that adds up: with
     # more, the limit stays used up.
     RETRY_CREDIT, MAX_RETRY_CREDIT = 0.5, 3.0
     # Deliveries between two updates of the usual duration, and the factor by which it may rise in one: a slow
@@ -73,7 +73,7 @@
         return self.durations.quantile(0.5)
 
     def credit_rate(self, now):
-        """Retry credit a second, as if our share of the rate were asked: what waits is always tried again."""
+        """Retry credit a second, so that parked notifications are tried at least this often."""
         return self.RETRY_CREDIT * max(
             (p.fair_share(now) for p in {r.limiter: 0 for r in self.route_list}), default=0.0
         )
@@ -111,7 +111,7 @@
 
     # Seconds that a circuit stays open; and where a failed trial costs little, as its failure came at once.
     OPEN_S, OPEN_SHORT_S = 5.0, 1.5
-    # Seconds over which requests for the list spread: at first, at most after failures, and of an agent on
+    # Seconds over which requests for the list spread: at first, the maximum after failures, of an agent on
     # this machine.
     LIST_RETRY_S, MAX_LIST_RETRY_S, AGENT_RETRY_S = 1.0, 3.5, 0.5
     # Seconds of the platform's clock after which a change that a registry did not deliver counts as known:
--- a/ryestack/interface/terms.py
+++ b/ryestack/interface/terms.py
@@ -87,7 +87,8 @@
     benefit past a customer's share cap; list_has_rates: the endpoint list gives rates; rough_rates: those are
     approximate; may_cancel: pushes may be cancelled; max_retry_after: the longest time to come back that a
     throttled client is given, 0 for none; asks_for_list: the list is requested from a registry, not pushed;
-    connection_idle: seconds after which an idle connection closes; quantum: least seconds between two rounds.
+    connection_idle: seconds after which an idle connection closes; quantum: seconds between two rounds, at
+    the minimum.
     """
 
     topic_types: tuple[TopicType, ...]
--- a/ryestack/lifecycle/learned_state.py
+++ b/ryestack/lifecycle/learned_state.py
@@ -89,9 +89,9 @@
     }
 
 
-def restore(brain: Brain, learnt: dict) -> None:
+def restore(brain: Brain, learned: dict) -> None:
     """Restores exported state into a module that has the endpoint list; unknown parts are ignored."""
-    for name, parts in learnt.get("routes", {}).items():
+    for name, parts in learned.get("routes", {}).items():
         if route := brain.routes.get(name):
             drains = route.state == "draining"
             _learn(_of_route(route), parts)
@@ -100,13 +100,13 @@
                 brain.draining[name] = route
             if route.state == "open":
                 brain.schedule(route.open_until, Brain.on_open_end, route)
-    for number, parts in learnt.get("dests", {}).items():
+    for number, parts in learned.get("dests", {}).items():
         if (dest := brain.destinations.get(int(number))) is not None:
             _learn(_of_dest(dest), parts)
-    brain.short_until = dict(learnt.get("short", {}))
-    for kind, facts in learnt.get("habits", {}).items():
+    brain.short_until = dict(learned.get("short", {}))
+    for kind, facts in learned.get("habits", {}).items():
         _learn([brain.refusal_costs[kind]], [facts])
-    _learn([brain.durations], [learnt.get("times", {})])
+    _learn([brain.durations], [learned.get("times", {})])
 
 
 def assume_cold(brain: Brain) -> None:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -25,10 +25,10 @@
     lines = []
     for number, (clock, events) in enumerate([begun, *batches]):
         lines += [["Round", clock, number], *events, ["End"]]
-    said = io.StringIO()
-    serve([json.dumps(line).encode() for line in lines], said)
+    output = io.StringIO()
+    serve([json.dumps(line).encode() for line in lines], output)
     replies, now = [], []
-    for line in map(json.loads, said.getvalue().splitlines()):
+    for line in map(json.loads, output.getvalue().splitlines()):
         if line[0] == "Eor":
             replies.append(now)
             now = []
@@ -51,21 +51,21 @@
     def test_missing_party_and_unusable_reports_are_accepted(self):
         first = play((100.0, [["Incoming", 3, "n", 9000.0, None, 7, "again"]]), (900.0, [["Timer", 3, 0]]))
         [route] = [line for line in sum(first, []) if line[0] == "Route"]
-        odd = (None, {}, {"x0": -1, "x1": 2}, {"x0": 1e999, "x1": "a"}, {"x1": -5}, {"x0": True, "x1": 0})
-        for report in odd:
+        invalid = (None, {}, {"x0": -1, "x1": 2}, {"x0": 1e999, "x1": "a"}, {"x1": -5}, {"x0": True, "x1": 0})
+        for report in invalid:
             reply = ["Reply", 3, "n", 0, route[3], "OK", 80.0, True, None, report]
             batches = [(100.0, [["Incoming", 3, "n", 9000.0, None, 7, "again"]]), (900.0, [["Timer", 3, 0]]),
                        (1000.0, [reply]), (2000.0, [["Incoming", 3, "m", 9000.0, 0, 7, "again"]])]
-            said = sum(play(*batches), [])
-            self.assertNotIn("Fatal", [line[0] for line in said], report)
+            output = sum(play(*batches), [])
+            self.assertNotIn("Fatal", [line[0] for line in output], report)
 
     def test_unusable_rates_in_a_list_are_accepted(self):
         for rate in (-5, 0, 1e308, float("inf"), float("nan"), 10**400, 5e-324):
             rows = [["c", "x", "shared", 8, 1, rate, None]]
             asked = (100.0, [["Incoming", 3, "n", 9000.0, None, 8, "again"]])
-            told = (50.0, [["Catalog", 1, rows], ["Sync", 3, 0, 2, 1]])
-            said = play(told, asked, (5000.0, [["Timer", 3, 0]]))
-            lines = sum(said, [])
+            listed = (50.0, [["Catalog", 1, rows], ["Sync", 3, 0, 2, 1]])
+            output = play(listed, asked, (5000.0, [["Timer", 3, 0]]))
+            lines = sum(output, [])
             self.assertNotIn("Fatal", [line[0] for line in lines], rate)
             self.assertIn(["Route", 3, "n", "c"], [line[:4] for line in lines], rate)
 
@@ -75,8 +75,8 @@
         broken = {200: 1, 500: 2, 1200: 3}
         batches = [(at, [["Sync", 3, 3, 0, 0], *events] if n in broken else events)
                    for n, (at, events) in enumerate(ticks)]
-        said = play(*batches)
-        asked = [n for n, reply in enumerate(said) if any(line[0] == "Subscribe" for line in reply)]
+        output = play(*batches)
+        asked = [n for n, reply in enumerate(output) if any(line[0] == "Subscribe" for line in reply)]
         self.assertEqual(len(asked), 4)
         self.assertTrue(0 < asked[0] <= 101, asked)  # relays do not all ask when they start
         # Further apart each time, but a change counts as known six seconds after the registry is back.
--- a/tests/test_counted.py
+++ b/tests/test_counted.py
@@ -9,9 +9,9 @@
 
 
 class RefusalsThatUseUpLimits(unittest.TestCase):
-    def counted(self, told=40.0, **more):
+    def counted(self, rate=40.0, **more):
         """A module that was refused three times with the limit used up and delivered nothing then."""
-        b = brain(routes=("a",), rate=told, relays=40, **more)
+        b = brain(routes=("a",), rate=rate, relays=40, **more)
         for at in (1.0, 1.5, 1.8):
             b.routes["a"].limiter.record_failure(at, at, True, used_up=True)
             b.destinations[7].refusal_cost.add(True)
@@ -47,7 +47,7 @@
         self.assertAlmostEqual(limiter.rate(2.0), limiter.GAIN_DECREASE * 40.0 / 40)
 
     def test_rare_calls_may_borrow_only_with_an_ample_share_left(self):
-        _, limiter = self.counted(told=2.0, connection_idle=15.0, list_has_rates=True)
+        _, limiter = self.counted(rate=2.0, connection_idle=15.0, list_has_rates=True)
         for left, free in ((0.0, False), (0.9, True), (0.3, False)):  # otherwise rare calls keep it used up
             limiter.record_limit_left(left, 2.0)
             self.assertEqual(limiter.may_borrow(2.0), free, left)
