--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from enum import Enum
 
-from .. import interface as it
+from .. import interface
 from ..observe.log import detailed, event
 from ..ports import HandIn, Verdict
 from ..store.owed import Owed, rules_of
@@ -71,7 +71,7 @@
             self.replication.took(owed, message)
         else:
             self.turn_away(message, Refusal.JOURNAL_FAILS)
-            self.put([it.Withdrawn(n.id)])
+            self.put([interface.Withdrawn(n.id)])
 
     def told_taken(self, o: Owed) -> None:
         if detailed():
--- a/ryestack/lifecycle/config.py
+++ b/ryestack/lifecycle/config.py
@@ -4,7 +4,7 @@
 import os
 from dataclasses import dataclass
 
-from .. import interface as it
+from .. import interface
 from ..operator.schema import Operator
 from ..settings import BadSettings, MixedShapes, check_shape, lacking, read_settings
 from ..wire.members import UNREADABLE, BadList, read_list
@@ -30,7 +30,7 @@
     sockets: int
     disk: int
     known: dict
-    settings: it.Settings
+    settings: interface.Settings
     operator: Operator
     told: dict  # the file as it came, less the list
 
@@ -87,7 +87,7 @@
         raise BadConfig(str(bad)) from None
 
 
-def _peers(chosen: Operator, told: dict, settings: it.Settings) -> str:
+def _peers(chosen: Operator, told: dict, settings: interface.Settings) -> str:
     """What is wrong with the peers for this very relay, "" if nothing."""
     peers = chosen.peers
     if not peers.cluster:
@@ -99,7 +99,7 @@
     return ""
 
 
-def _settings(options: dict, told: dict, chosen: Operator) -> it.Settings:
+def _settings(options: dict, told: dict, chosen: Operator) -> interface.Settings:
     settings = read_settings(options)
     check_shape(options)
     if peers_wrong := _peers(chosen, told, settings):
@@ -109,7 +109,7 @@
     return settings
 
 
-def settings_of(options: dict, config: Config) -> it.Settings:
+def settings_of(options: dict, config: Config) -> interface.Settings:
     """Settings from their JSON object, for a relay of that configuration; raises BadConfig."""
     try:
         return _settings(options, config.told, config.operator)
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from .. import interface as it
+from .. import interface
 from ..observe.log import detailed, event
 from ..ports import Verdict
 from .admission import Refusal
@@ -19,9 +19,9 @@
         self.unwritten: list[str] = []
         self.retry: asyncio.TimerHandle | None = None
 
-    def end(self, action: it.Throttle | it.Expire) -> None:
+    def end(self, action: interface.Throttle | interface.Expire) -> None:
         """An end at once answers the client; later it is a notice to the platform."""
-        throttled = isinstance(action, it.Throttle)
+        throttled = isinstance(action, interface.Throttle)
         away = action.come_back if throttled else 0.0
         how = "throttled" if throttled else "expired"
         self.counts[how] += 1
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -8,7 +8,7 @@
 from collections import Counter, defaultdict
 from functools import partial
 
-from .. import interface as it
+from .. import interface
 from ..brain import NEVER_RAN
 from ..interface import Result
 from ..observe.log import detailed, event
@@ -24,7 +24,7 @@
 
 
 class Owner(Admission, Pushing, Ending, Recovery):
-    def __init__(self, settings: it.Settings, seed: int, ledger: Ledger, clock, wall: float):
+    def __init__(self, settings: interface.Settings, seed: int, ledger: Ledger, clock, wall: float):
         super().__init__()
         self.settings, self.ledger, self.clock = settings, ledger, clock
         self.wall = wall  # added to the clock, it gives times of the journal's timeline
@@ -53,13 +53,13 @@
     def hand_in(self, message: HandIn) -> None:
         self.put([message])
 
-    def retune(self, settings: it.Settings) -> None:
+    def retune(self, settings: interface.Settings) -> None:
         """Between rounds; the module hears of it before all that comes after."""
         self.settings = settings
-        self.put([it.Retuned(settings)])
+        self.put([interface.Retuned(settings)])
 
     def withdraw(self, name: str) -> None:
-        self.put([it.Withdrawn(name)])
+        self.put([interface.Withdrawn(name)])
 
     def told_platform(self, names: list[str]) -> None:
         for name in names:
@@ -99,25 +99,25 @@
             self.invariants.hear(told, now)
         for action in self.brain.round(now, heard):
             asked[type(action)].append(action)
-        for action in asked[it.Throttle] + asked[it.Expire]:
+        for action in asked[interface.Throttle] + asked[interface.Expire]:
             self.end(action)
         for message in self.fresh.values():
             self.take(message)
-        for action in asked[it.Cancel]:
+        for action in asked[interface.Cancel]:
             self.dispatcher.cancel(action.id, action.push)
-        for action in asked[it.CallOff]:
+        for action in asked[interface.CallOff]:
             self.dispatcher.cancel_unsent(action.endpoint)
-        self.push(asked[it.Push])
-        for action in asked[it.HangUp]:
+        self.push(asked[interface.Push])
+        for action in asked[interface.HangUp]:
             self.dispatcher.close_idle(action.endpoint)
-        if any(isinstance(h, it.ListUpdate) for h in heard):
+        if any(isinstance(h, interface.ListUpdate) for h in heard):
             self.dispatcher.forget()
-        for _ in asked[it.AskForList]:
+        for _ in asked[interface.AskForList]:
             self.directory.ask()
-        for action in asked[it.Wake]:
-            asyncio.get_running_loop().call_later(action.after, self.put, [it.Woken()])
+        for action in asked[interface.Wake]:
+            asyncio.get_running_loop().call_later(action.after, self.put, [interface.Woken()])
 
-    def before_outcome(self, o: it.Outcome):
+    def before_outcome(self, o: interface.Outcome):
         if not o.made:
             return o
         self.invariants.ended(o.id, o.push)
@@ -137,12 +137,12 @@
                 self.replication.ended(owed, o.push, o.result in NEVER_RAN)
         return o
 
-    def before_withdrawn(self, event: it.Withdrawn):
+    def before_withdrawn(self, event: interface.Withdrawn):
         self.over(event.id)
         return event
 
     def before_paused(self, event: Paused):
-        return it.Withdrawn(event.id)
+        return interface.Withdrawn(event.id)
 
     def in_progress(self) -> int:
         return sum(not owed.notice for owed in self.ledger.owed.values())
@@ -152,10 +152,10 @@
 
     BEFORE = {
         HandIn: Admission.before_hand_in,
-        it.Outcome: before_outcome,
-        it.WaitTold: Siblings.before_wait,
+        interface.Outcome: before_outcome,
+        interface.WaitTold: Siblings.before_wait,
         RemoteEvent: Siblings.before_remote_event,
-        it.Withdrawn: before_withdrawn,
+        interface.Withdrawn: before_withdrawn,
         Paused: before_paused,
     }
 
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from math import inf
 
-from .. import interface as it
+from .. import interface
 from ..brain.invariants import Invariants, Rule
 from ..interface import Result
 from ..observe.log import detailed, event
@@ -29,7 +29,7 @@
         self.invariants = Invariants()
         self.unsent: Counter[Unsent] = Counter()
 
-    def push(self, pushes: list[it.Push]) -> None:
+    def push(self, pushes: list[interface.Push]) -> None:
         calls, unsent = defaultdict(list), []
         for each in pushes:
             item = self.prepared(each)
@@ -43,7 +43,7 @@
         if unsent:
             self.put(unsent)
 
-    def prepared(self, push: it.Push) -> Item | Unsent:
+    def prepared(self, push: interface.Push) -> Item | Unsent:
         """What the dispatcher sends, once it is in the journal that it may have run."""
         owed = self.ledger.owed.get(push.id)
         if owed is None:  # refused just now, for want of room in the journal
@@ -59,7 +59,7 @@
             return Unsent.NO_LEASE
         return Item(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *may)
 
-    def broken_rule(self, push: it.Push, owed: Owed) -> Rule | None:
+    def broken_rule(self, push: interface.Push, owed: Owed) -> Rule | None:
         maybe_at, topic = owed.first_maybe() - self.wall, None
         if maybe_at < inf:
             topic, _ = terms_of(owed.topic, owed.rules)
@@ -73,17 +73,17 @@
     def violated(self, rule: Rule, name: str, endpoint: str = "") -> None:
         event("invariant.violated", rule=rule.value, id=name, route=endpoint)
 
-    def not_started(self, push: it.Push, why: Unsent) -> it.Outcome:
+    def not_started(self, push: interface.Push, why: Unsent) -> interface.Outcome:
         """Its outcome. Where nothing of it was written it is no push, and does not count as one."""
         self.unsent[why] += 1
         owed = self.ledger.owed.get(push.id)
         if detailed():
             event("push.unsent", id=push.id, route=push.endpoint, why=why.value)
         if owed is None:
-            return it.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True)
+            return interface.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True)
         if why is Unsent.NO_LEASE:
-            return it.Outcome(push.id, owed.pushes - 1, push.endpoint, Result.NOT_SENT)
-        return it.Outcome(push.id, owed.pushes, push.endpoint, Result.NOT_SENT, made=False)
+            return interface.Outcome(push.id, owed.pushes - 1, push.endpoint, Result.NOT_SENT)
+        return interface.Outcome(push.id, owed.pushes, push.endpoint, Result.NOT_SENT, made=False)
 
     def start(self, endpoint: str, items: list[Item]) -> None:
         for item in items:
--- a/ryestack/lifecycle/recovery.py
+++ b/ryestack/lifecycle/recovery.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from .. import interface as it
+from .. import interface
 from ..observe.log import event
 from ..store.owed import Owed, terms_of
 from . import learned_state
@@ -19,7 +19,7 @@
 class Recovery(Siblings):
     def recover(
         self,
-        known: list[it.ListUpdate],
+        known: list[interface.ListUpdate],
         told: dict | None = None,
         beside: bool = False,
         failed: dict[str, float] | None = None,
@@ -56,6 +56,6 @@
                 due = o.due - self.wall
                 self.told_taken(o)
                 head = o.id, due, o.dest, o.topic, o.customer, o.order_key
-                known.append(it.Notification(*head, o.pushes, maybe, terms, most))
+                known.append(interface.Notification(*head, o.pushes, maybe, terms, most))
         event("relay.recovered", owed=len(known), notices=len(left) - len(known))
         self.put(known)
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -8,7 +8,7 @@
 from dataclasses import fields, replace
 from functools import partial
 
-from .. import interface as it
+from .. import interface
 from ..observe.log import event, flush
 from ..wire.staff import Staff
 from .admin import Admin
@@ -129,7 +129,7 @@
     async def announce_stop(self) -> None:
         for listener in self.parts.listeners:
             listener.leave()
-        self.owner.put([it.Leaving(self.stop_at + SHORT)])
+        self.owner.put([interface.Leaving(self.stop_at + SHORT)])
 
     async def close_listeners(self) -> None:
         for listener in self.parts.listeners:
@@ -137,7 +137,7 @@
 
     async def wind_up(self) -> None:
         # A push decided from here on would never be made, and the next life would read that it may have run.
-        self.owner.put([it.Leaving(self.clock())])
+        self.owner.put([interface.Leaving(self.clock())])
         self.owner.round(self.owner.take_queue())
         await self.parts.dispatcher.close()
         if self.owner.queue:
--- a/ryestack/lifecycle/scope/destinations.py
+++ b/ryestack/lifecycle/scope/destinations.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ... import interface as it
+from ... import interface
 from ...control.messages import Entry
 from ...wire.members import UNREADABLE, Members, read_row
 
@@ -62,7 +62,7 @@
         """Whether it is in scope, with endpoints or without."""
         return destination in self.served
 
-    def change(self, entries: Iterable[Entry], removed: Iterable[str], version: int) -> it.ListUpdate:
+    def change(self, entries: Iterable[Entry], removed: Iterable[str], version: int) -> interface.ListUpdate:
         """Put entries that `read_destination` can read in force; returns what to tell the decisions."""
         rows: list[dict] = []
         for entry in entries:
@@ -76,7 +76,7 @@
                 self.leaving[number] = (self.clock(), self.served.pop(number))
         return self._tell(rows, version)
 
-    def let_go(self, owed: Collection[int]) -> it.ListUpdate:
+    def let_go(self, owed: Collection[int]) -> interface.ListUpdate:
         """Remove the endpoints of destinations that have left and of which nothing is owed."""
         rows: list[dict] = []
         for number, (since, _) in list(self.leaving.items()):
@@ -92,5 +92,5 @@
             del self._names[number]
         return [*listed.values(), *({"name": name, "status": GONE} for name in gone)]
 
-    def _tell(self, rows: list[dict], version: int) -> it.ListUpdate:
+    def _tell(self, rows: list[dict], version: int) -> interface.ListUpdate:
         return self.learn({"index": version, "snapshot": False, "endpoints": rows})
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from math import inf
 
-from ... import interface as it
+from ... import interface
 from ...control.client import ControlClient
 from ...control.messages import Entry, Rejection
 from ...control.order import Machine
@@ -28,9 +28,9 @@
 LOOK_SECONDS = 1.0  # between looks for destinations of which nothing is owed any more
 SAVE_SECONDS = 60.0  # between copies for the next start, while nothing changes
 
-ReadSettings = Callable[[dict], it.Settings]
+ReadSettings = Callable[[dict], interface.Settings]
 """The settings of their JSON object; raises BadConfig where a relay can't use them."""
-TakeSettings = Callable[[it.Settings | None, dict], None]
+TakeSettings = Callable[[interface.Settings | None, dict], None]
 """Put settings in force, from their JSON object; None: the control tier has none (any more)."""
 
 
@@ -57,7 +57,7 @@
             trouble=self._trouble,
         )
         self._following: asyncio.Future | None = None
-        self._updates: list[it.ListUpdate] = []  # until the owner runs
+        self._updates: list[interface.ListUpdate] = []  # until the owner runs
         self._tell = self._updates.extend
         self._saved_at, self._is_saved = -inf, True
 
@@ -68,10 +68,10 @@
             if entry.key == SETTINGS_KEY and self._check([entry]) is None:
                 self._change_settings(entry)
 
-    def known(self) -> it.ListUpdate:
+    def known(self) -> interface.ListUpdate:
         """What the life before had in force, also of destinations that had left its scope."""
         if self.saved is None:
-            return it.ListUpdate(whole=True)
+            return interface.ListUpdate(whole=True)
         kept = [entry for entry in self.saved.kept.entries if _is_usable(entry)]
         served = {entry.key for entry in kept}
         leaving = [entry for entry in self.saved.leaving if entry.key not in served and _is_usable(entry)]
@@ -82,7 +82,7 @@
             {"index": version, "snapshot": True, "endpoints": list(self.members.rows.values())}
         )
 
-    async def fresh(self) -> list[it.ListUpdate]:
+    async def fresh(self) -> list[interface.ListUpdate]:
         """What the machines say at once; their answers are followed from here on."""
         self._following = asyncio.ensure_future(self.client.run())
         until = self.owner.clock() + (FIRST_SECONDS if self.saved else FIRST_SCOPE_SECONDS)
--- a/ryestack/lifecycle/settings_taker.py
+++ b/ryestack/lifecycle/settings_taker.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from .. import interface as it
+from .. import interface
 from ..observe.log import event
 from ..settings import lacking
 from .config import BadConfig, Config, settings_of
@@ -16,24 +16,24 @@
 
     control_settings: dict | None = None
 
-    def read_control_settings(self, told: dict) -> it.Settings:
+    def read_control_settings(self, told: dict) -> interface.Settings:
         """Raises BadConfig where they can't be used, or lack what those in force have."""
         before = self.control_settings or self.config.told["settings"]
         if key := lacking(told, before):
             raise BadConfig(f"{key} is missing")
         return settings_of(told, self.config)
 
-    def take_control_settings(self, settings: it.Settings | None, told: dict) -> None:
+    def take_control_settings(self, settings: interface.Settings | None, told: dict) -> None:
         """None: those of the file hold again."""
         self.control_settings = told if settings else None
         self.take_settings(settings or settings_of(self.config.told["settings"], self.config))
 
-    def settings_after(self, reread: Config) -> it.Settings:
+    def settings_after(self, reread: Config) -> interface.Settings:
         """The settings in force once that file holds."""
         told = self.control_settings
         return settings_of(told, reread) if told else reread.settings
 
-    def take_settings(self, settings: it.Settings) -> None:
+    def take_settings(self, settings: interface.Settings) -> None:
         if settings == self.config.settings:
             return
         self.parts.terms.change(settings, self.clock())
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from ... import interface as it
+from ... import interface
 from ...observe.log import event
 from .. import learned_state
 from ..phases import LOOK, READY, SHORT
@@ -95,4 +95,4 @@
     async def hand_over_listeners(self) -> None:
         for listener in self.parts.listeners:
             listener.replaced()
-        self.owner.put([it.Leaving(self.stop_at + SHORT)])
+        self.owner.put([interface.Leaving(self.stop_at + SHORT)])
--- a/ryestack/lifecycle/upgrade/siblings.py
+++ b/ryestack/lifecycle/upgrade/siblings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ... import interface as it
+from ... import interface
 from ...interface import Result
 
 OUTCOME_FIELDS = ("elapsed", "ended", "wait", "limit", "stale", "left")  # in the order of an "ended" message
@@ -12,7 +12,7 @@
 class RemoteEvent:
     """What another process of this relay has met: how a push of its ended, a wait it was told."""
 
-    event: it.Outcome | it.WaitTold
+    event: interface.Outcome | interface.WaitTold
 
 
 class Siblings:
@@ -27,10 +27,10 @@
 
     def before_remote_event(self, event: RemoteEvent):
         met = event.event
-        known = isinstance(met, it.WaitTold) or self.remote_pushes.pop((met.id, met.push), None)
+        known = isinstance(met, interface.WaitTold) or self.remote_pushes.pop((met.id, met.push), None)
         return met if known else None
 
-    def before_wait(self, event: it.WaitTold):
+    def before_wait(self, event: interface.WaitTold):
         self.tell_siblings("wait", event.endpoint, event.wait)
         return event
 
@@ -43,7 +43,7 @@
             told = [(item.id, item.push, self.ledger.owed[item.id].topic) for item in items]
             self.tell_siblings("began", endpoint, told)
 
-    def tell_ended(self, o: it.Outcome) -> None:
+    def tell_ended(self, o: interface.Outcome) -> None:
         facts = [getattr(o, name) for name in OUTCOME_FIELDS]
         self.tell_siblings("ended", o.id, o.push, o.endpoint, o.result.value, *facts)
 
@@ -59,21 +59,21 @@
         unknown = next(iter(topics.values()))
         self.remote_pushes.update({(name, push): (channel, endpoint) for name, push, _ in items})
         told = tuple((name, push, topics.get(topic, unknown)) for name, push, topic in items)
-        self.put([it.Overheard(endpoint, told)])
+        self.put([interface.Overheard(endpoint, told)])
 
     def hear_ended(self, channel, name, push, endpoint, result, *facts) -> None:
         told = dict(zip(OUTCOME_FIELDS, facts, strict=True))
-        self.put([RemoteEvent(it.Outcome(name, push, endpoint, Result(result), **told))])
+        self.put([RemoteEvent(interface.Outcome(name, push, endpoint, Result(result), **told))])
 
     def hear_turn(self, channel, key, name, over, rest_until) -> None:
         self.turns[key, name] = channel
         if over:
             del self.turns[key, name]
         if name not in self.ledger.owed:
-            self.put([it.Turn(key, name, over, rest_until)])
+            self.put([interface.Turn(key, name, over, rest_until)])
 
     def hear_wait(self, channel, endpoint, seconds, *_) -> None:
-        self.put([RemoteEvent(it.WaitTold(str(endpoint), float(seconds)))])
+        self.put([RemoteEvent(interface.WaitTold(str(endpoint), float(seconds)))])
 
     def hear_holds(self, channel, count, *_) -> None:
         self.held_by[channel] = int(count)
@@ -101,7 +101,7 @@
             self.siblings.remove(channel)
         self.held_by.pop(channel, None)
         theirs = [(key, at) for key, (whose, at) in self.remote_pushes.items() if whose is channel]
-        self.put([RemoteEvent(it.Outcome(*key, at, Result.CANCELLED)) for key, at in theirs])
+        self.put([RemoteEvent(interface.Outcome(*key, at, Result.CANCELLED)) for key, at in theirs])
         for (name, push), at in theirs:  # to a third one too, which heard of them through us
             facts = (0.0, False, 0.0, 0.0, False, 1.0)  # OUTCOME_FIELDS
             self.tell_siblings("ended", name, push, at, Result.CANCELLED.value, *facts)
@@ -112,4 +112,4 @@
             if channel not in self.siblings:
                 del self.turns[key, name]
                 if name not in self.ledger.owed:
-                    self.put([it.Turn(key, name, True)])
+                    self.put([interface.Turn(key, name, True)])
--- a/ryestack/store/owed.py
+++ b/ryestack/store/owed.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from .. import interface as it
+from .. import interface
 
 
 @dataclass(slots=True)
@@ -33,11 +33,11 @@
     def first_maybe(self) -> float:
         return min([self.maybe_at, *self.open.values()])
 
-    def effect(self, settings: it.Settings) -> it.Effect:
+    def effect(self, settings: interface.Settings) -> interface.Effect:
         """What a repeat does, by the terms it was taken under, else by those in force."""
         terms, _ = terms_of(self.topic, self.rules)
         known = {topic.name: topic.effect for topic in settings.topic_types}
-        return terms.effect if terms else known.get(self.topic, it.Effect.ONCE_ONLY)
+        return terms.effect if terms else known.get(self.topic, interface.Effect.ONCE_ONLY)
 
     def shift(self, seconds: float) -> None:
         """Its times told on another timeline."""
@@ -54,17 +54,17 @@
         self.notice = self.notice or other.notice
 
 
-def rules_of(t: it.TopicType, most: int) -> list:
+def rules_of(t: interface.TopicType, most: int) -> list:
     """The terms of a notification as the journal writes them."""
     span = [t.objective, t.ttl, t.benefit, t.late_share, t.group, t.window, t.keep_order]
     return [t.effect.value, *span, most]
 
 
-def terms_of(name: str, rules: list | None) -> tuple[it.TopicType | None, int]:
+def terms_of(name: str, rules: list | None) -> tuple[interface.TopicType | None, int]:
     if rules is None:
         return None, 0
     effect, *span, most = rules
-    return it.TopicType(name, it.Effect(effect), *span), most
+    return interface.TopicType(name, interface.Effect(effect), *span), most
 
 
 def record(*values, body: bytes = b"") -> bytes:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,44 +4,44 @@
 import json
 import tempfile
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.brain import Brain
 from ryestack.ports import Item
 from ryestack.wire.calls import Calls
 from ryestack.wire.members import Members
 
-RULES = it.Rules(cold_share=0.2, cold_time=10.0, overload_factor=2.0, fall_time=2.0, key_rest=1.0)
+RULES = interface.Rules(cold_share=0.2, cold_time=10.0, overload_factor=2.0, fall_time=2.0, key_rest=1.0)
 TOPICS = (
-    it.TopicType("again", it.Effect.REPEATABLE, 2.0, 20.0),
-    it.TopicType("merge", it.Effect.COLLAPSIBLE, 2.0, 20.0, window=6.0),
-    it.TopicType("once", it.Effect.ONCE_ONLY, 4.0, 20.0, benefit=2.0),
-    it.TopicType("turns", it.Effect.REPEATABLE, 2.0, 20.0, keep_order=True),
+    interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0),
+    interface.TopicType("merge", interface.Effect.COLLAPSIBLE, 2.0, 20.0, window=6.0),
+    interface.TopicType("once", interface.Effect.ONCE_ONLY, 4.0, 20.0, benefit=2.0),
+    interface.TopicType("turns", interface.Effect.REPEATABLE, 2.0, 20.0, keep_order=True),
 )
-KINDS = (it.Kind("shared"), it.Kind("apart", apart=True), it.Kind("bulk", batch=20))
+KINDS = (interface.Kind("shared"), interface.Kind("apart", apart=True), interface.Kind("bulk", batch=20))
 
 
 def settings(**more):
     base = {"slots": 12, "max_open": 100, "max_pushes": 6, "max_come_back": 2.0}
-    return it.Settings(TOPICS, KINDS, RULES, **{**base, **more})
+    return interface.Settings(TOPICS, KINDS, RULES, **{**base, **more})
 
 
 def brain(kind="shared", routes=("a", "b"), rate=50.0, made=Brain, **more):
     made = made(settings(**more), 1)
-    listed = tuple(it.Endpoint(r, "z", kind, 7, rate=rate) for r in routes)
-    made.round(0.0, [it.ListUpdate(listed, whole=True)])
+    listed = tuple(interface.Endpoint(r, "z", kind, 7, rate=rate) for r in routes)
+    made.round(0.0, [interface.ListUpdate(listed, whole=True)])
     return made
 
 
 def take(name, topic="again", due=20.0, key="", **history):
-    return it.Notification(name, due, 7, topic, key=key, **history)
+    return interface.Notification(name, due, 7, topic, key=key, **history)
 
 
 def end(name, endpoint, result, push=0, **more):
-    return it.Outcome(name, push, endpoint, result, 0.1, **more)
+    return interface.Outcome(name, push, endpoint, result, 0.1, **more)
 
 
 def pushes(actions):
-    return [(a.id, a.endpoint) for a in actions if isinstance(a, it.Push)]
+    return [(a.id, a.endpoint) for a in actions if isinstance(a, interface.Push)]
 
 
 def kinds(actions, kind):
@@ -104,7 +104,7 @@
     calls.start("a", [Item(name, 0, timeout, f"k{name}", b"body\r\n", None) for name in names])
     outcomes = []
     while len(outcomes) < len(names):
-        outcomes += [o for o in await asyncio.wait_for(told.get(), 5.0) if isinstance(o, it.Outcome)]
+        outcomes += [o for o in await asyncio.wait_for(told.get(), 5.0) if isinstance(o, interface.Outcome)]
     await calls.close()
     server.close()
     return outcomes, seen
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lifecycle import learned_state
 from ryestack.lifecycle.watched import Watched
@@ -111,7 +111,7 @@
             for name in ("wait_until", "cold", "tokens"):
                 self.assertEqual(getattr(mine.pacer, name), getattr(theirs.pacer, name))
         self.assertEqual(pushes(successor.round(2.0, [take("m")])), [("m", "d")])
-        successor.round(10.3, [it.Woken()])
+        successor.round(10.3, [interface.Woken()])
         self.assertNotEqual(successor.routes["a"].state, "open")
 
     def test_what_was_never_heard_of_is_passed_over(self):
@@ -130,8 +130,8 @@
 
 class Overheard(unittest.TestCase):
     def call(self, *names, endpoint="a"):
-        return it.Overheard(endpoint, tuple((name, 0, it.TopicType("again", it.Effect.REPEATABLE, 2.0, 20.0))
-                                            for name in names))
+        topic = interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0)
+        return interface.Overheard(endpoint, tuple((name, 0, topic) for name in names))
 
     def test_their_calls_take_our_slots_and_give_them_back(self):
         b = brain(routes=("a",), slots=4, rate=1000.0)
@@ -150,9 +150,9 @@
         b = brain(routes=("a",), slots=4, may_cancel=True)
         b.round(1.0, [self.call(name) for name in "xyz"])
         for now in (3.0, 6.0, 9.0):
-            acts = b.round(now, [it.Woken(), take(f"n{now}")])
+            acts = b.round(now, [interface.Woken(), take(f"n{now}")])
             theirs = [call for call in b.late if call.items[0][0].state == "afar"]
-            self.assertEqual((kinds(acts, it.Cancel), theirs), ([], []))
+            self.assertEqual((kinds(acts, interface.Cancel), theirs), ([], []))
             self.assertNotEqual(b.routes["a"].state, "closed")
 
     def test_an_endpoint_that_we_do_not_know_is_passed_over(self):
@@ -166,23 +166,24 @@
 
     def test_a_younger_one_waits_for_the_elders_and_an_adopted_one_keeps_its_place(self):
         b = brain()
-        b.round(1.0, [it.Turn("k", "old", False), it.Turn("k", "older", False)])
+        b.round(1.0, [interface.Turn("k", "old", False), interface.Turn("k", "older", False)])
         self.assertEqual(pushes(b.round(1.1, [take("n", "turns", key="k")])), [])
-        self.assertEqual(pushes(b.round(1.2, [it.Turn("k", "old", True, rest=1.5)])), [])
+        self.assertEqual(pushes(b.round(1.2, [interface.Turn("k", "old", True, rest=1.5)])), [])
         acts = b.round(1.3, [take("older", "turns", key="k")])  # adopted
-        self.assertEqual(pushes(acts + b.round(1.5, [it.Woken()])), [("older", "a")])
+        self.assertEqual(pushes(acts + b.round(1.5, [interface.Woken()])), [("older", "a")])
         self.assertEqual(pushes(b.round(1.6, [end("older", "a", Result.DELIVERED)])), [("n", "a")])
         b.round(1.7, [end("n", "a", Result.DELIVERED)])
-        b.round(9.0, [it.Woken()])
+        b.round(9.0, [interface.Woken()])
         self.assertEqual(b.keys, {})
 
     def test_words_of_turns_go_out_once_and_are_not_told_back(self):
         said, b = [], Watched(settings(), 1)
         b.told_turn = lambda *word: said.append(word[:3])
-        b.round(0.0, [it.ListUpdate((it.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)])
-        b.round(1.0, [take("n", "turns", key="k"), it.Turn("k", "x", False)])
+        listed = (interface.Endpoint("a", "z", "shared", 7, rate=50.0),)
+        b.round(0.0, [interface.ListUpdate(listed, whole=True)])
+        b.round(1.0, [take("n", "turns", key="k"), interface.Turn("k", "x", False)])
         self.assertEqual([turn[:3] for turn in b.turns()], [("k", "n", False), ("k", "x", False)])
-        b.round(1.1, [end("n", "a", Result.DELIVERED), it.Turn("k", "x", True)])
+        b.round(1.1, [end("n", "a", Result.DELIVERED), interface.Turn("k", "x", True)])
         self.assertEqual(said, [("k", "n", False), ("k", "n", True)])
 
 
--- a/tests/test_notices_written.py
+++ b/tests/test_notices_written.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 
 from .helpers import called, http
@@ -27,7 +27,7 @@
         o.round([self.hand_in("n")])
         with self.failing(o):
             o.fresh = {}
-            o.end(it.Throttle("n", 1.0))
+            o.end(interface.Throttle("n", 1.0))
             await asyncio.sleep(0.15)
             self.assertEqual((self.told, o.ledger.owed["n"].notice["state"]), ([], "returned"))
             self.assertFalse(o.settled())
@@ -42,7 +42,7 @@
         o.round([self.hand_in("n", due=30.0)])
         with self.failing(o):
             o.fresh = {}
-            o.end(it.Expire("n"))
+            o.end(interface.Expire("n"))
             await asyncio.sleep(0.15)
             self.assertEqual(self.told, [])
             self.now = 30.0
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from unittest.mock import patch
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lifecycle.owner import Owner
 from ryestack.ports import HandIn, Verdict
@@ -34,7 +34,8 @@
     def setUp(self):
         super().setUp()
         self.now = 10.0
-        self.listed = it.ListUpdate((it.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
+        listed = (interface.Endpoint("a", "z", "shared", 7, rate=50.0),)
+        self.listed = interface.ListUpdate(listed, whole=True)
 
     def hand_in(self, name, topic="again", due=30.0, body=b"x"):
         loop = asyncio.get_running_loop()
@@ -47,7 +48,7 @@
         made = self.owner()
         made.recover([self.listed])
         self.now += 0.1  # a new route's first call comes a moment later
-        made.round([it.Woken()])
+        made.round([interface.Woken()])
         return made
 
 
@@ -56,20 +57,20 @@
         o, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
         o.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
         self.now += 1.1
-        o.round([it.Woken()])  # the asking of a start, which says nothing here
+        o.round([interface.Woken()])  # the asking of a start, which says nothing here
         asked.clear()
         with patch.object(loop, "call_later"):
             for least, most in ((1.0, 2.0), (1.75, 3.5), (1.75, 3.5), (1.75, 3.5)):
                 failed, told = self.now, len(asked)
-                o.round([it.ListUpdate(failed=True)])
+                o.round([interface.ListUpdate(failed=True)])
                 while len(asked) == told:
                     self.now += 0.01
-                    o.round([it.Woken()])
+                    o.round([interface.Woken()])
                 self.assertTrue(least <= asked[-1] - failed <= most + 0.02, (least, asked[-1] - failed))
-            o.round([it.ListUpdate()])
-            o.round([it.ListUpdate(failed=True)])
+            o.round([interface.ListUpdate()])
+            o.round([interface.ListUpdate(failed=True)])
             self.now += 2.01
-            o.round([it.Woken()])
+            o.round([interface.Woken()])
         self.assertEqual(len(asked), 5)
 
     async def test_journalled_then_answered_then_pushed(self):
@@ -99,7 +100,7 @@
     async def test_a_later_end_is_a_notice_and_is_owed_until_taken(self):
         o = self.owner()
         o.round([self.hand_in("n", "once")])
-        o.round([it.Outcome("n", 0, "a", Result.BROKEN)])
+        o.round([interface.Outcome("n", 0, "a", Result.BROKEN)])
         self.assertEqual(self.told, [("n", {"state": "failed"})])
         again = self.again(1.0)
         self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], []))
@@ -110,7 +111,7 @@
     async def test_after_a_kill_each_is_decided_by_its_history(self):
         o = self.owner()
         o.round([self.hand_in("n", "once"), self.hand_in("m"), self.hand_in("o", "merge")])
-        o.round([self.hand_in("p", "once", due=11.0), it.Outcome("m", 0, "a", Result.DELIVERED)])
+        o.round([self.hand_in("p", "once", due=11.0), interface.Outcome("m", 0, "a", Result.DELIVERED)])
         o = self.again(2.0)
         self.assertEqual(sorted(self.told), [("n", {"state": "failed"}), ("p", {"state": "failed"})])
         self.assertEqual(self.sent, [("o", 1)])
@@ -121,7 +122,7 @@
     async def test_a_withdrawn_one_is_forgotten(self):
         o = self.owner()
         o.round([self.hand_in("n")])
-        o.round([it.Withdrawn("n")])
+        o.round([interface.Withdrawn("n")])
         self.again(1.0)
         self.assertEqual((self.sent, self.told), ([], []))
 
@@ -144,11 +145,11 @@
         first = self.hand_in("m")
         o.round([first])
         o.ledger.journal.append = self.no_room
-        o.round([self.hand_in("p"), it.Outcome("m", 0, "a", Result.ERROR)])
+        o.round([self.hand_in("p"), interface.Outcome("m", 0, "a", Result.ERROR)])
         self.assertEqual(list(o.ledger.owed), ["m"])
         o.round(o.take_queue())
         self.assertNotIn("p", o.brain.held)
-        o.round([it.Outcome("m", 1, "a", Result.DELIVERED)])
+        o.round([interface.Outcome("m", 1, "a", Result.DELIVERED)])
         self.assertEqual(o.ledger.owed, {})
 
     def no_room(self, _):
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -4,7 +4,7 @@
 import random
 from types import SimpleNamespace
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.lifecycle.replication import record_codec
 from ryestack.lifecycle.replication.replicated import ReplicatedWork
 from ryestack.peers.node import Node, Terms
@@ -67,4 +67,4 @@
 
 def test_the_effect_of_a_repeat_is_that_of_the_terms_it_was_taken_under():
     owed = Owed("n", 1.0, 7, "no such topic", "", "", "", b"x")
-    assert owed.effect(settings()) is it.Effect.ONCE_ONLY
+    assert owed.effect(settings()) is interface.Effect.ONCE_ONLY
--- a/tests/test_races_left.py
+++ b/tests/test_races_left.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lifecycle.owner import Owner
 from ryestack.lifecycle.terms import Terms
@@ -49,9 +49,9 @@
     return got
 
 
-async def outcome(told: asyncio.Queue) -> it.Outcome:
+async def outcome(told: asyncio.Queue) -> interface.Outcome:
     async with asyncio.timeout(3.0):
-        while not isinstance(each := await told.get(), it.Outcome):
+        while not isinstance(each := await told.get(), interface.Outcome):
             pass
     return each
 
@@ -133,7 +133,7 @@
 
 
 def test_a_kill_between_the_journals_push_and_the_first_byte_counts_as_a_push_that_may_have_run():
-    listed = it.ListUpdate((it.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
+    listed = interface.ListUpdate((interface.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
 
     async def story(folder, left):
         killed, loop = [], asyncio.get_running_loop()
@@ -157,7 +157,7 @@
         second, told = owner(left, 11.0, lambda _, items: pushed.extend((i.id, i.push) for i in items))
         second.recover([listed])
         second.clock = lambda: 11.1
-        second.round([it.Woken()])
+        second.round([interface.Woken()])
         second.ledger.journal.close()
         assert (told, pushed) == ([("one", {"state": "failed"})], [("two", 1)])
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -6,7 +6,7 @@
 import unittest
 from dataclasses import replace
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Effect, Result
 from ryestack.lifecycle.config import BadConfig, load
 from ryestack.lifecycle.terms import GRACE, Terms, stricter
@@ -54,10 +54,10 @@
         b.round(1.0, [take("n", "once"), take("m", "again")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE), AGAIN, max_pushes=1, slots=20)
         fails = [end("n", "a", Result.BROKEN), end("m", "a", Result.ERROR)]
-        acts = b.round(1.1, [it.Retuned(changed), *fails])
-        self.assertEqual((kinds(acts, it.Expire), pushes(acts)), (["n"], [("m", "b")]))
+        acts = b.round(1.1, [interface.Retuned(changed), *fails])
+        self.assertEqual((kinds(acts, interface.Expire), pushes(acts)), (["n"], [("m", "b")]))
         acts = b.round(1.2, [take("o", "once")]) + b.round(1.3, [end("o", "b", Result.ERROR)])
-        self.assertEqual(kinds(acts, it.Throttle), ["o"])  # one push is all that it may have now
+        self.assertEqual(kinds(acts, interface.Throttle), ["o"])  # one push is all that it may have now
         self.assertEqual(b.slots + len({id(call) for call, _ in b.out.values()}), 20)
 
 
@@ -102,7 +102,7 @@
         made.retune(changed)
         made.recover([self.listed])
         self.now += 0.1
-        made.round([*made.take_queue(), it.Woken()])
+        made.round([*made.take_queue(), interface.Woken()])
         self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
         made.ledger.rewrite()
         made.ledger.journal.close()
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lifecycle.config import load
 from ryestack.lifecycle.relay import Relay
@@ -28,7 +28,7 @@
     async def close(self):
         await asyncio.sleep(0.02)  # rounds of the owner's own task run meanwhile
         self.closed = True
-        told = [it.Outcome(i.id, i.push, at, Result.NO_CONNECTION) for at, i in self.started]
+        told = [interface.Outcome(i.id, i.push, at, Result.NO_CONNECTION) for at, i in self.started]
         self.started = []
         self.tell(told)
 
