--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -68,7 +68,7 @@
     def over(self, name: str) -> None:
         """Nothing is owed of it any more."""
         if owed := self.ledger.owed.get(name):
-            self.ledger.over(name)
+            self.ledger.finish(name)
             self.replication.over(owed)
 
     def pause(self, names: set[str]) -> None:
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -120,7 +120,7 @@
         shard = self.node.own
         if not self.acts(shard):  # outside any shard: nobody else knows of it, or ever will
             self.counts[decided("hand-in", "no lease", self.alone)] += 1
-            self.owner.ledger.alone(owed.id)
+            self.owner.ledger.mark_unreplicated(owed.id)
             return self.verdict(message, Verdict.TAKEN)
         self.shard_of[owed.id] = shard
         self.wait(shard, self.write(shard, [record_codec.taken(owed)]), partial(self.covers, owed, message))
--- a/ryestack/lifecycle/replication/takeover.py
+++ b/ryestack/lifecycle/replication/takeover.py
@@ -27,7 +27,7 @@
                 continue  # in the module already
             if known is None:
                 self.counts["taken over"] += 1
-                ledger.welcome(owed)
+                ledger.add_foreign(owed)
             else:  # our own life before is over, and its calls with it
                 known.join(owed)
                 known.busy = 0.0
@@ -74,7 +74,7 @@
             if covered:
                 self.shard_of[each.id] = shard
             else:
-                self.owner.ledger.alone(each.id)
+                self.owner.ledger.mark_unreplicated(each.id)
         if covered:
             self.write(shard, [record for each in owed for record in record_codec.all_of(each)])
         self.owner.adopt([each for each in owed if each.busy <= wall])
@@ -101,7 +101,7 @@
             self.waiting.remove(each)
             each.done(False)
         for name in [n for n, whose in self.shard_of.items() if whose is shard]:
-            if self.owner.ledger.is_guest(name):
+            if self.owner.ledger.is_foreign(name):
                 self.forget(name)
         if shard is self.node.own:
             self.renews = True
@@ -121,4 +121,4 @@
         self.stray.pop(name, None)
         self.shard_of.pop(name, None)
         self.paused.discard(name)
-        self.owner.ledger.over(name)
+        self.owner.ledger.finish(name)
--- a/ryestack/lifecycle/starting.py
+++ b/ryestack/lifecycle/starting.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ..observe.log import event
-from ..store.files import Held
+from ..store.files import AllFilesLocked
 from .upgrade.channel import PATIENCE
 
 FOLDER_RETRY = 0.1  # seconds before a folder that fails is tried again
@@ -15,7 +15,7 @@
     async def recover(self) -> None:
         learnt, out = await self.predecessor_state() if self.channel else (None, [])
         await self.open_ledger()
-        beside = bool(self.ledger.journal.beside())
+        beside = bool(self.ledger.journal.other_files())
         failed = None
         if learnt is None and not beside and not self.channel:
             before = self.saved_state()
@@ -40,7 +40,7 @@
                 self.ledger.recover()
                 break
             except OSError as problem:
-                if isinstance(problem, Held) or self.stop_asked.is_set():
+                if isinstance(problem, AllFilesLocked) or self.stop_asked.is_set():
                     raise
                 event("journal.blocked", why=str(problem))
             await asyncio.sleep(FOLDER_RETRY)
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -82,11 +82,11 @@
         while True:
             await self.adoption_asked.wait()
             self.adoption_asked.clear()
-            while self.ledger.journal.beside():
+            while self.ledger.journal.other_files():
                 if self.phase in READY and (left := self.ledger.adopt()):
                     self.owner.adopt(self.owner.replication.inherited(left))
                 self.owner.tell_siblings("holds", self.owner.held())
-                await asyncio.sleep(STUCK if self.ledger.stuck else LOOK)
+                await asyncio.sleep(STUCK if self.ledger.retry_needed else LOOK)
             self.owner.all_adopted()
             if not self.channels:
                 self.succession.predecessor_is("gone")
--- a/ryestack/store/__init__.py
+++ b/ryestack/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a relay keeps: the ledger of owed messages and the journal that outlives the process."""
+"""Persistent state of a relay: the ledger of open notifications, its journal, and other state files."""
--- a/ryestack/store/adoption.py
+++ b/ryestack/store/adoption.py
@@ -1,8 +1,9 @@
-"""Taking over what processes that are gone have left in files of their own, in a folder that may fail.
+"""Adopts the journal files of dead processes, in a folder whose disk may fail.
 
-A file is copied whole behind ours, in one write that also names it, and then taken away. A kill before that
-write leaves all as it was. After it the messages are ours, and a file that is still there, because of a kill
-or because it could not be taken away, is known by its content and never read into our work again.
+The live records of a file are appended to our own file in one write that also records the file's identity;
+then the file is removed. A kill before that write changes nothing. After it the notifications are ours. A
+file that is still there, because of a kill or because its removal failed, is recognised by its identity and
+not adopted again.
 """
 
 from contextlib import suppress
@@ -10,119 +11,130 @@
 
 from ..observe.log import event
 from . import files
-from .journal import FRAME, FileIdentity, Torn, torn, unframed
+from .journal import FRAME, FileContents, FileIdentity, decode_frames, parse_file
 from .owed import Owed, record
 from .timeline import Timeline
 
-HEAD = 512  # bytes at the head of a file that hold its first record, which tells its timeline
+HEAD_BYTES = 512  # read from the start of a file to get its first record, which holds the timeline
 
 
 class NoRoom(OSError):
-    """The allowance does not hold what is to be adopted."""
+    """The disk allowance is too small for the records to be adopted."""
 
 
 class Adoption:
-    """The part of a ledger that adopts. adopted: files whose content is ours, as long as they are there;
-    from_own_file: at a start, what our own file says is owed; stuck: a file of a process that is gone could
-    not be taken over, or taken away, yet."""
+    """The part of a ledger that adopts other processes' files.
+
+    adopted: identities of adopted files that have not been removed yet; ids_from_own_file: during recovery,
+    the ids that our own file lists as owed; retry_needed: a dead process's file could not be adopted or
+    removed yet.
+    """
 
     def __init__(self):
         self.adopted: set[FileIdentity] = set()
-        self.from_own_file: set[str] = set()
-        self.stuck = False
+        self.ids_from_own_file: set[str] = set()
+        self.retry_needed = False
 
     def adopt(self) -> list[Owed]:
-        """Take over what is there of processes that are gone; returns what is owed by it."""
-        taken, self.stuck = [], False
-        for path in self.journal.beside():
+        """Adopt the files of dead processes; returns the notifications that they owed."""
+        adopted, self.retry_needed = [], False
+        for path in self.journal.other_files():
             try:
                 fd = files.lock(path)
                 if fd is None:
-                    continue  # its process lives
+                    continue  # its process is still running
                 with open(fd, "rb") as file:
-                    taken += self.adopt_file(path, file.read())
-            except OSError as problem:  # it stays where it is, and is tried again
+                    adopted += self.adopt_file(path, file.read())
+            except OSError as problem:  # the file stays, and is tried again later
                 event("journal.blocked", why=f"{path.name}: {problem}")
-                self.stuck = True
-        return taken
+                self.retry_needed = True
+        return adopted
 
     def adopt_file(self, path: Path, data: bytes) -> list[Owed]:
-        """Copy one file, and take it away once that is written; raises NoRoom with nothing copied."""
-        found, left = torn(data), type(self)(None)
-        bad = left.read(found.records)
-        identity, new = FileIdentity.of(path, data, found.size), []
+        """Copy one file and remove it once the copy is written; raises NoRoom, with nothing copied."""
+        contents, other = parse_file(data), type(self)(None)
+        invalid = other.read(contents.records)
+        identity, new = FileIdentity.of(path, data, contents.size), []
         if identity not in self.adopted:
-            new = self.copy_from(left, found, identity)
-            if bad or found.dropped:
-                event("journal.torn", records=bad, bytes=found.dropped)
+            new = self.copy_from(other, contents, identity)
+            if invalid or contents.dropped:
+                event("journal.torn", records=invalid, bytes=contents.dropped)
             event("journal.adopted", file=path.name, owed=len(new))
         if self.write_all():
-            self.take_away(path, identity)
+            self.remove_file(path, identity)
         else:
-            self.stuck = True
+            self.retry_needed = True
         return new
 
-    def copy_from(self, left: "Adoption", found: Torn, identity: FileIdentity) -> list[Owed]:
-        if found.damaged:
-            left.doubt()
-        # A process that had adopted our file knows what became of it since; our file does not.
-        stale = self.from_own_file if self.journal.identity in left.adopted else set()
-        new = [owed for owed in left.owed.values() if owed.id not in self.owed or owed.id in stale]
-        shift = left.timeline.shift_to(self.timeline) if left.timeline and self.timeline else 0.0
+    def copy_from(self, other: "Adoption", contents: FileContents, identity: FileIdentity) -> list[Owed]:
+        """Copy what the other ledger owes; returns our copies."""
+        if contents.damaged:
+            other.assume_all_may_have_run()
+        # A process that had adopted our file holds the newer state of those notifications; ours is stale.
+        stale = self.ids_from_own_file if self.journal.identity in other.adopted else set()
+        new = [owed for owed in other.owed.values() if owed.id not in self.owed or owed.id in stale]
+        shift = other.timeline.shift_to(self.timeline) if other.timeline and self.timeline else 0.0
         for owed in new:
             owed.shift(shift)
-        self.copy(new, sorted(stale), identity if left.owed else None)
+        self.copy(new, sorted(stale), identity if other.owed else None)
         return [self.owed[owed.id] for owed in new]
 
-    def timeline_beside(self) -> Timeline | None:
-        """That of another process's file: all files of a folder share one where they can."""
-        for path in self.journal.beside():
+    def timeline_of_other_files(self) -> Timeline | None:
+        """The timeline of another process's file: the files of a folder share one where possible."""
+        for path in self.journal.other_files():
             with suppress(OSError), open(path, "rb") as file:
                 head = type(self)(None)
-                head.read(unframed(file.read(HEAD))[0][:1])
+                head.read(decode_frames(file.read(HEAD_BYTES))[0][:1])
                 if head.timeline:
                     return head.timeline
         return None
 
-    def take_away(self, path: Path, identity: FileIdentity) -> None:
+    def remove_file(self, path: Path, identity: FileIdentity) -> None:
         try:
             path.unlink(missing_ok=True)
-            files.fresh(path).unlink(missing_ok=True)
-        except OSError as problem:  # its content is ours: only the name is tried again
+            files.replacement_path(path).unlink(missing_ok=True)
+        except OSError as problem:  # the content is adopted already: only the removal is retried
             event("journal.blocked", why=f"{path.name}: {problem}")
-            self.stuck = True
+            self.retry_needed = True
             return
         self.adopted.discard(identity)
 
     def copy(self, new: list[Owed], stale: list[str], identity: FileIdentity | None) -> None:
-        """stale: names that our file has and another had taken over since; identity: of the file, if it owed
-        anything. Raises NoRoom; then nothing of it is there."""
-        rules = [o.rules for o in new if o.rules and o.rules not in self.rules]
+        """Append the records of `new`. stale: ids in our file that another process had adopted since;
+        identity: of the adopted file, None if it owed nothing. Raises NoRoom, with nothing copied."""
+        rules = [owed.rules for owed in new if owed.rules and owed.rules not in self.rules]
         rules = [each for n, each in enumerate(rules) if each not in rules[:n]]
         numbers = [*self.rules, *rules]
         payloads = [record("over", name) for name in stale]
         payloads += [record("rules", "", each) for each in rules]
-        payloads += [p for o in new for p in self.summary(o, numbers)]
+        payloads += [payload for owed in new for payload in self.records_of(owed, numbers)]
         payloads += [record("adopted", *identity)] if identity else []
         if not payloads:
             return
         try:
-            self.append_copy([*self.head(), *payloads])
+            self.append_adopted([*self.head(), *payloads])
         except NoRoom:
             raise
-        except OSError as problem:  # ours all the same: their ends are due; the next write is of all
-            if self.live + sum(map(len, payloads)) > self.journal.most:
-                raise NoRoom("no room to adopt it") from problem
+        except OSError as problem:
+            # Adopted in memory all the same, since their final answers are due; the next write is a rewrite.
+            needed = self.live_bytes + sum(map(len, payloads))
+            if needed > self.journal.max_bytes:
+                raise NoRoom(_no_room(needed, self.journal.max_bytes)) from problem
             event("journal.blocked", why=f"adopting: {problem}")
-            self.well = False
+            self.in_sync = False
         self.read(payloads)
 
-    def append_copy(self, payloads: list[bytes]) -> None:
-        more = sum(len(p) + FRAME.size for p in payloads)
-        if self.must_rewrite() or not self.journal.fits(more, self.live):
+    def append_adopted(self, payloads: list[bytes]) -> None:
+        """Append all payloads in one write; raises OSError, or NoRoom, with none of them written."""
+        added = sum(len(payload) + FRAME.size for payload in payloads)
+        if self.needs_rewrite() or not self.journal.fits(added, self.live_bytes):
             self.rewrite()
-            self.well = True
-        if self.journal.size + more > self.journal.most:
-            raise NoRoom("no room to adopt it")
+            self.in_sync = True
+        if self.journal.size + added > self.journal.max_bytes:
+            raise NoRoom(_no_room(self.journal.size + added, self.journal.max_bytes))
         self.journal.append(*payloads)
         self.timeline_written = True
+
+
+def _no_room(needed: int, allowed: int) -> str:
+    return f"no room to adopt it: needs {needed} bytes, {allowed} allowed"
--- a/ryestack/store/files.py
+++ b/ryestack/store/files.py
@@ -1,32 +1,32 @@
-"""The files of a folder: one for each process that writes in it, under a lock that ends with the process.
+"""The journal files of a folder: one for each process, under a lock that ends with the process.
 
-`owed` is the first, `owed.1`, `owed.2` ... follow. Two processes are there during an upgrade; a file that
-nobody holds is of a process that is dead, and whoever locks it may take over what it says.
+The first is `owed`; `owed.1`, `owed.2` ... follow. Two processes share the folder during an upgrade. A file
+that is not locked belongs to a dead process, and a process that locks it may adopt its records.
 """
 
 import fcntl
 import os
 from pathlib import Path
 
-MOST = 16  # files that may stand beside each other: an upgrade leaves two, three in a row as many more
-NAMES = ["owed", *(f"owed.{n}" for n in range(1, MOST))]
+MAX_FILES = 16  # journal files in one folder: an upgrade leaves two, three upgrades in a row as many more
+FILE_NAMES = ["owed", *(f"owed.{n}" for n in range(1, MAX_FILES))]
 
 
-class Held(OSError):
-    """Each name is held by a process that lives."""
+class AllFilesLocked(OSError):
+    """Every journal file name is locked by a running process."""
 
 
 def lock(path: Path, create: bool = False) -> int | None:
-    """A descriptor of the file, locked; None if another process holds it, or it is not there."""
-    for _ in range(MOST):
+    """A descriptor of the locked file; None if another process holds the lock or the file does not exist."""
+    for _ in range(MAX_FILES):
         try:
             fd = os.open(path, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC | (os.O_CREAT if create else 0), 0o600)
         except FileNotFoundError:
             return None
-        if not grasp(fd):
+        if not try_lock(fd):
             os.close(fd)
             return None
-        # Its holder may have taken it away, or put a new one in its place, between the two calls.
+        # Its holder may have removed or replaced the file between the two calls.
         try:
             if os.path.samestat(os.stat(path), os.fstat(fd)):
                 return fd
@@ -36,8 +36,8 @@
     return None
 
 
-def grasp(fd: int) -> bool:
-    """Whether the lock is ours; where a file system knows none, the one process there has it."""
+def try_lock(fd: int) -> bool:
+    """Whether the lock was acquired; also true on a file system without locks, with one process only."""
     try:
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
@@ -47,20 +47,27 @@
     return True
 
 
-def own(folder: Path) -> tuple[Path, int]:
-    """A file to write: one that a dead process left, else a new one."""
+def open_own_file(folder: Path) -> tuple[Path, int]:
+    """Open and lock a file to write: one that a dead process left, else a new one.
+
+    Raises AllFilesLocked.
+    """
     for create in (False, True):
-        for name in NAMES:
+        for name in FILE_NAMES:
             fd = lock(folder / name, create)
             if fd is not None:
                 return folder / name, fd
-    raise Held(f"{folder}: all of {NAMES[0]} to {NAMES[-1]} are held by processes that live")
+    raise AllFilesLocked(
+        f"{folder}: all of {FILE_NAMES[0]} to {FILE_NAMES[-1]} are locked by running processes, "
+        f"at most {MAX_FILES} can share a folder"
+    )
 
 
-def others(folder: Path, mine: Path) -> list[Path]:
-    return [folder / name for name in NAMES if folder / name != mine and (folder / name).exists()]
+def other_files(folder: Path, mine: Path) -> list[Path]:
+    """The existing journal files of the folder except `mine`."""
+    return [folder / name for name in FILE_NAMES if folder / name != mine and (folder / name).exists()]
 
 
-def fresh(path: Path) -> Path:
-    """Where a rewrite of that file stands until it is whole."""
+def replacement_path(path: Path) -> Path:
+    """Where a rewrite of that file is written until it is complete."""
     return path.with_name(path.name + ".new")
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -1,7 +1,7 @@
-"""Reads a relay's folder without touching it: of a live relay, a dead one, or a damaged file.
+"""Read-only inspection of a relay's folder, whether the relay is running or dead, or a file is damaged.
 
-A start drops all that stands behind the first bad frame; this reader goes on behind it, so that what would be
-lost can be named.
+A start drops everything behind the first invalid frame. This reader continues behind it, so that it can list
+what a start would lose.
 """
 
 from dataclasses import dataclass, field
@@ -9,19 +9,20 @@
 from pathlib import Path
 
 from . import files
-from .journal import FRAME, following, unframed
+from .journal import FRAME, decode_frames, find_next_frame
 from .ledger import Ledger
 from .owed import Owed
 from .timeline import MachineClock, Timeline
 
 
 class NoJournal(Exception):
-    """There is no folder, or it cannot be read; the text says which."""
+    """The folder does not exist or cannot be read; the text says which."""
 
 
 @dataclass(slots=True)
 class Damage:
-    """Bytes of the file that are no record. tail: they reach its end, as after a kill within a write."""
+    """Bytes of the file that are not a valid record. tail: they reach the end of the file, as after a kill
+    during a write."""
 
     at: int
     length: int
@@ -30,66 +31,70 @@
 
 @dataclass(slots=True)
 class Found:
-    """What the file holds: as the next start sees it, and what stands behind the first damage."""
+    """The contents of a file: as the next start reads it, and what follows the first damage."""
 
     path: str
     size: int = 0
     records: int = 0
-    senseless: list[int] = field(default_factory=list)  # offsets of whole records that make no sense
+    senseless: list[int] = field(default_factory=list)  # offsets of complete records with invalid content
     damage: list[Damage] = field(default_factory=list)
     owed: dict[str, Owed] = field(default_factory=dict)
     behind: dict[str, Owed] = field(default_factory=dict)  # owed by records that a start would drop
-    rewriting: bool = False  # a new file stands beside it
-    timeline: Timeline | None = None  # of its times; None: they are of the wall clock
+    rewriting: bool = False  # an unfinished rewrite of the file exists
+    timeline: Timeline | None = None  # of the times in the file; None: they are wall-clock times
 
     def now(self, clock: MachineClock) -> float:
+        """The current time on the file's timeline, in seconds."""
         return self.timeline.now(clock) if self.timeline else clock.wall
 
     def sound(self) -> bool:
-        """Whether no more is wrong than a kill within a write explains."""
+        """Whether the file has no damage beyond what a kill during a write leaves."""
         return not self.senseless and all(d.tail for d in self.damage)
 
 
 def inspect(folder: str) -> list[Found]:
-    """Each file of the folder, the first one also where there is none; raises NoJournal."""
+    """A report for each journal file of the folder, and for the first one even if it does not exist.
+
+    Raises NoJournal.
+    """
     if not Path(folder).is_dir():
         raise NoJournal(f"{folder}: is no folder")
-    first = Path(folder) / files.NAMES[0]
-    return [_inspect(path) for path in [first, *files.others(Path(folder), first)]]
+    first = Path(folder) / files.FILE_NAMES[0]
+    return [_inspect(path) for path in [first, *files.other_files(Path(folder), first)]]
 
 
 def _inspect(path: Path) -> Found:
-    found = Found(str(path), rewriting=files.fresh(path).exists())
+    found = Found(str(path), rewriting=files.replacement_path(path).exists())
     try:
         data = path.read_bytes() if path.exists() else b""
     except OSError as problem:
         raise NoJournal(f"{path}: {problem.strerror}") from None
     found.size = len(data)
-    ledger, at, first = Ledger(None), 0, True
-    while at < len(data):
-        records, taken = unframed(data[at:])
-        _apply(found, ledger, records, at)
-        at += taken
+    ledger, offset, first = Ledger(None), 0, True
+    while offset < len(data):
+        records, length = decode_frames(data[offset:])
+        _apply(found, ledger, records, offset)
+        offset += length
         if first:
             found.owed = {name: _copy(owed) for name, owed in ledger.owed.items()}
             first = False
-        if at < len(data):
-            begin = following(data, at + 1)
-            found.damage.append(Damage(at, begin - at, begin == len(data)))
-            at = begin
+        if offset < len(data):
+            begin = find_next_frame(data, offset + 1)
+            found.damage.append(Damage(offset, begin - offset, begin == len(data)))
+            offset = begin
     found.timeline = ledger.timeline
-    found.behind = {n: o for n, o in ledger.owed.items() if n not in found.owed}
+    found.behind = {name: owed for name, owed in ledger.owed.items() if name not in found.owed}
     return found
 
 
-def _apply(found: Found, ledger: Ledger, records: list[bytes], at: int) -> None:
+def _apply(found: Found, ledger: Ledger, records: list[bytes], offset: int) -> None:
     for payload in records:
         try:
             ledger.apply(payload)
         except (ValueError, KeyError, TypeError, IndexError, AttributeError):
-            found.senseless.append(at)
+            found.senseless.append(offset)
         found.records += 1
-        at += FRAME.size + len(payload)
+        offset += FRAME.size + len(payload)
 
 
 def _copy(o: Owed) -> Owed:
@@ -111,7 +116,10 @@
 
 
 def row(owed: Owed, now: float) -> dict:
-    """One notification for people; no key and no body. now, times told: seconds of its file's timeline."""
+    """One notification for display, without key and body.
+
+    now and the times in the result are in seconds of the file's timeline.
+    """
     first = owed.first_maybe()
     return {
         "id": owed.id,
--- a/ryestack/store/journal.py
+++ b/ryestack/store/journal.py
@@ -1,7 +1,7 @@
-"""An append-only file of framed records in the folder that lasts.
+"""An append-only file of framed records in the relay's state folder.
 
-A record is its length, its checksum and its payload. Written data outlives the process without a sync;
-what a kill cut short at the end is dropped at the next start.
+A frame is the payload's length, its checksum and the payload. Written data survives the process without a
+sync; a record at the end that a kill cut short is dropped at the next start.
 """
 
 import os
@@ -14,44 +14,49 @@
 from . import files
 
 FRAME = struct.Struct(">II")  # length, checksum
-BLOCK = 512  # a file's size on disk is counted in whole blocks
-SPARE = 8 * BLOCK  # kept free of the allowance
-MARK = b'["'  # how each payload begins
-LARGEST = 128 * 1024  # bytes of a payload that is believed: a body has 64 KiB at most
+BLOCK_BYTES = 512  # a file's size on disk is counted in whole blocks
+RESERVED_BYTES = 8 * BLOCK_BYTES  # of the allowance, kept free
+PAYLOAD_PREFIX = b'["'  # each payload begins with it
+MAX_PAYLOAD_BYTES = 128 * 1024  # a longer one is taken for damage: a body has 64 KiB at most
 
 
-def framed(payload: bytes) -> bytes:
+def encode_frame(payload: bytes) -> bytes:
+    """The payload with its length and checksum in front."""
     return FRAME.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def unframed(data: bytes) -> tuple[list[bytes], int]:
-    """The whole records at the head of data, and how many bytes they take."""
-    records, at = [], 0
-    while at + FRAME.size <= len(data):
-        length, check = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + length]
-        if len(payload) < length or zlib.crc32(payload) != check:
+def decode_frames(data: bytes) -> tuple[list[bytes], int]:
+    """The payloads of the valid frames at the start of data, and how many bytes those frames take."""
+    records, offset = [], 0
+    while offset + FRAME.size <= len(data):
+        length, checksum = FRAME.unpack_from(data, offset)
+        payload = data[offset + FRAME.size : offset + FRAME.size + length]
+        if len(payload) < length or zlib.crc32(payload) != checksum:
             break
         records.append(payload)
-        at += FRAME.size + length
-    return records, at
+        offset += FRAME.size + length
+    return records, offset
 
 
-def following(data: bytes, at: int) -> int:
-    """Where the next whole record begins from there on, else the end. Damage is told so from a torn tail;
-    what stands behind it is not believed, since a body may hold bytes that look like a record."""
-    mark = data.find(MARK, at + FRAME.size)
-    while mark >= 0:
-        head = mark - FRAME.size
+def find_next_frame(data: bytes, offset: int) -> int:
+    """The offset of the next valid frame at or behind `offset`, else the length of data.
+
+    It distinguishes damage from a torn tail. The frames behind damage are not trusted, since a body may hold
+    bytes that look like a frame.
+    """
+    start = data.find(PAYLOAD_PREFIX, offset + FRAME.size)
+    while start >= 0:
+        head = start - FRAME.size
         length, _ = FRAME.unpack_from(data, head)
-        if length <= min(LARGEST, len(data) - mark) and unframed(data[head : mark + length])[0]:
+        fits = length <= min(MAX_PAYLOAD_BYTES, len(data) - start)
+        if fits and decode_frames(data[head : start + length])[0]:
             return head
-        mark = data.find(MARK, mark + 1)
+        start = data.find(PAYLOAD_PREFIX, start + 1)
     return len(data)
 
 
 class FileIdentity(NamedTuple):
-    """A journal file by what it holds: its name, the bytes of its whole records, their checksum."""
+    """Identifies a journal file by its content: its name, the bytes of its valid records, their checksum."""
 
     name: str
     size: int
@@ -62,8 +67,9 @@
         return cls(path.name, size, zlib.crc32(data[:size]))
 
 
-class Torn(NamedTuple):
-    """What a file holds: whole records, bytes behind them, whether that is more than a kill explains."""
+class FileContents(NamedTuple):
+    """A parsed file: its valid records and their bytes, the number of bytes behind them, and whether those
+    are damage, that is, more than a kill during a write explains."""
 
     records: list[bytes]
     size: int
@@ -71,91 +77,97 @@
     damaged: bool
 
 
-def torn(data: bytes) -> Torn:
-    records, size = unframed(data)
+def parse_file(data: bytes) -> FileContents:
+    """Split the bytes of a file into valid records and what follows them."""
+    records, size = decode_frames(data)
     dropped = len(data) - size
-    return Torn(records, size, dropped, dropped > 0 and following(data, size + 1) < len(data))
+    return FileContents(records, size, dropped, dropped > 0 and find_next_frame(data, size + 1) < len(data))
 
 
 class Journal:
-    """This process's file in a folder; while it is rewritten the new one stands beside it, with `.new`."""
+    """This process's file in a folder; while it is rewritten the new one exists beside it, with `.new`."""
 
     def __init__(self, folder: str, allowance: int):
-        self.folder, self.path, self.allowance = Path(folder), Path(folder) / files.NAMES[0], allowance
+        self.folder, self.path, self.allowance = Path(folder), Path(folder) / files.FILE_NAMES[0], allowance
         self.size, self.dropped, self.damaged = 0, 0, False
-        self.tail_left = False  # bytes behind our records that could not be taken away: no more may follow
-        self.identity = None  # of the file as this process found it
+        self.tail_remains = False  # an incomplete record at the end could not be truncated: no append allowed
+        self.identity = None  # of the file as it was at the start of this process
         self.file = None
         self.share(1)
 
     def share(self, processes: int) -> None:
-        """The allowance is the folder's: so many processes write in it now."""
-        self.most = self.allowance // processes - SPARE
+        """Divide the folder's allowance among the processes that write in it now."""
+        self.max_bytes = self.allowance // processes - RESERVED_BYTES
 
     def read(self) -> list[bytes]:
-        """All records of the file that is ours now; opens it for more. Raises OSError where there is none."""
-        self.path, fd = files.own(self.folder)
+        """Open a file for appending and return its records. Raises OSError where no file can be opened."""
+        self.path, fd = files.open_own_file(self.folder)
         self.file = open(fd, "ab", buffering=0)  # noqa: SIM115 - open as long as the process
-        with suppress(OSError):  # a rewrite begins it anew
-            files.fresh(self.path).unlink(missing_ok=True)
+        with suppress(OSError):  # a rewrite truncates it anyway
+            files.replacement_path(self.path).unlink(missing_ok=True)
         try:
             data = self.path.read_bytes()
         except OSError:
-            self.file.close()  # and with it the lock: it may be tried again
+            self.file.close()  # releases the lock as well, so that the read can be retried
             raise
-        found = torn(data)
-        self.size, self.dropped, self.damaged = found.size, found.dropped, found.damaged
-        self.identity = FileIdentity.of(self.path, data, found.size)
+        contents = parse_file(data)
+        self.size, self.dropped, self.damaged = contents.size, contents.dropped, contents.damaged
+        self.identity = FileIdentity.of(self.path, data, contents.size)
         if self.damaged:
-            self.size += found.dropped  # it stays until a rewrite takes its place: a kill must find it again
+            self.size += (
+                contents.dropped
+            )  # kept until a rewrite: after a kill, the next start must see it too
         elif self.dropped:
-            self.cut_tail()
-        return found.records
+            self.truncate_tail()
+        return contents.records
 
-    def cut_tail(self) -> None:
-        """Take away what stands behind our records; where the disk fails, only a rewrite goes on."""
+    def truncate_tail(self) -> None:
+        """Remove the bytes behind our records; where the disk fails, only a rewrite can follow."""
         try:
             self.file.truncate(self.size)
         except OSError:
-            self.tail_left = True
+            self.tail_remains = True
 
-    def beside(self) -> list[Path]:
-        """The files of other processes, dead or alive."""
-        return files.others(self.folder, self.path)
+    def other_files(self) -> list[Path]:
+        """The files of other processes, dead or running."""
+        return files.other_files(self.folder, self.path)
 
-    def fits(self, more: int, live: int) -> bool:
-        """Whether so many bytes can be appended and the live ones still be rewritten beside the file."""
-        return self.size + more + live <= self.most
+    def fits(self, added: int, live: int) -> bool:
+        """Whether `added` bytes can be appended and the live ones still be rewritten beside the file."""
+        return self.size + added + live <= self.max_bytes
 
     def append(self, *payloads: bytes) -> None:
-        """All of them or none; raises OSError for none."""
-        if self.tail_left:
-            raise OSError("the journal has to be written anew")
-        data = b"".join(map(framed, payloads))
-        if self.file.write(data) != len(data):  # a part of a record would hide all that follow it
-            self.cut_tail()
-            raise OSError("the journal took only a part of a record")
+        """Append all records or none; raises OSError if none were written."""
+        if self.tail_remains:
+            raise OSError("the journal ends in an incomplete record: it must be rewritten before an append")
+        data = b"".join(map(encode_frame, payloads))
+        written = self.file.write(data)
+        if written != len(data):  # an incomplete record would hide all that follow it
+            self.truncate_tail()
+            raise OSError(f"short write to the journal: {written} of {len(data)} bytes")
         self.size += len(data)
 
     def rewrite(self, payloads: list[bytes]) -> None:
-        """Put these records in place of all; the old file stands until the new one is whole."""
-        data, beside = b"".join(map(framed, payloads)), files.fresh(self.path)
-        fresh = open(beside, "ab", buffering=0)  # noqa: SIM115 - it becomes the file
+        """Replace all records by these; the old file stays until the new one is complete."""
+        data, path = b"".join(map(encode_frame, payloads)), files.replacement_path(self.path)
+        replacement = open(path, "ab", buffering=0)  # noqa: SIM115 - it becomes the file
         try:
-            if not files.grasp(fresh.fileno()):  # the name must never stand for a file without its lock
-                raise OSError("the new journal is held by another process")
-            fresh.truncate(0)  # what an earlier rewrite left, if the disk failed as it was to be removed
-            if fresh.write(data) != len(data):
-                raise OSError("no room for a new journal")
-            os.replace(beside, self.path)
+            if not files.try_lock(replacement.fileno()):  # the name must never refer to an unlocked file
+                raise OSError(f"the replacement journal {path.name} is locked by another process")
+            replacement.truncate(0)  # left by an earlier rewrite, if the disk failed when removing it
+            written = replacement.write(data)
+            if written != len(data):
+                raise OSError(f"no room to rewrite the journal: {written} of {len(data)} bytes written")
+            os.replace(path, self.path)
         except OSError:
-            fresh.close()
+            replacement.close()
             with suppress(OSError):
-                beside.unlink(missing_ok=True)
+                path.unlink(missing_ok=True)
             raise
         self.file.close()
-        self.file, self.size, self.tail_left = fresh, len(data), False
+        self.file, self.size, self.tail_remains = replacement, len(data), False
 
     def close(self) -> None:
+        """Close the file, which releases its lock."""
         if self.file:
             self.file.close()
--- a/ryestack/store/ledger.py
+++ b/ryestack/store/ledger.py
@@ -1,177 +1,199 @@
-"""The messages that this relay owes an end, in memory and in the journal alike.
+"""The notifications for which this relay owes a final answer, in memory and in the journal.
 
-Each change is one record; the same code applies it when it is written and when it is read at a start.
-Times in records are of the file's timeline, so that they hold over a restart.
+Each change is one record; the same code applies it when it is written and when it is read at a start. Times
+in records are on the file's timeline, so that they stay valid over a restart.
 """
 
 from ..observe.log import event
 from .adoption import Adoption
 from .journal import FRAME, Journal
 from .owed import Owed, record
-from .records import HISTORY, Records
+from .records import HISTORY_BYTES, Records
 from .timeline import continued, read_clock
 
-LIVE_PART = 0.4  # of the allowance for what is owed: an old and a new file stand side by side at a rewrite
-DEAD, SMALL = 4, 100_000  # past so many times what is owed and so many bytes a file is slow to read
-DEAD_PART = 1 / 16  # of the allowance: fewer dead bytes are not worth the writing of all that lives
-UNUSED = 32  # terms that no message has any more: past so many a start leaves them out
-LONG_AGO = 0.0  # of any timeline: past every window
+# Of the allowance, for open notifications: during a rewrite the old and the new file exist side by side.
+MAX_LIVE_SHARE = 0.4
+# A file larger than this many times its live bytes plus this many bytes is slow to read, and rewritten.
+REWRITE_SIZE_RATIO, REWRITE_MIN_BYTES = 4, 100_000
+MIN_DEAD_SHARE = 1 / 16  # of the allowance: fewer dead bytes do not justify a rewrite of all live ones
+MAX_UNUSED_TERMS = 32  # terms that no notification has any more: a start drops them past this number
+DISTANT_PAST = 0.0  # a time that is past every window on any timeline
 
 
 class Ledger(Adoption, Records):
-    """timeline: the axis of all times in it, from the recovery on; read: gives the machine's clocks."""
+    """Open notifications by id, kept in a journal.
+
+    timeline: the axis of all times in it, from the recovery on; read: returns the machine's clocks; in_sync:
+    whether the file holds every change, False after a failed write.
+    """
 
     def __init__(self, journal: Journal, read=read_clock):
         super().__init__()
-        self.journal, self.owed, self.live, self.well = journal, {}, 0, True
+        self.journal, self.owed, self.live_bytes, self.in_sync = journal, {}, 0, True
         self.read_clock, self.timeline = read, None
         self.timeline_written = False
-        self.guests: set[str] = set()  # owed for another relay: its guards keep them, our file does not
-        self.rules: list[list] = []  # those that the file names so far, by number
+        self.foreign_ids: set[str] = set()  # owed for another relay: its guards store them, our file does not
+        self.rules: list[list] = []  # terms that the file has records of, by number
 
     def recover(self) -> None:
-        """Read what the lives before have left; a record that makes no sense is passed over.
+        """Read the records of earlier processes; an invalid record is skipped.
 
-        Raises OSError where the folder gives no file at all.
+        Raises OSError where no file can be opened.
         """
-        bad = self.read(self.journal.read())
+        invalid = self.read(self.journal.read())
         found, now = self.timeline, self.read_clock()
-        self.timeline = continued(found or self.timeline_beside(), now)
+        self.timeline = continued(found or self.timeline_of_other_files(), now)
         self.timeline_written = found == self.timeline
-        self.from_own_file = set(self.owed)
+        self.ids_from_own_file = set(self.owed)
         used = [rules for rules in self.rules if any(o.rules == rules for o in self.owed.values())]
-        if unused := len(self.rules) - len(used) > UNUSED:
+        if unused := len(self.rules) - len(used) > MAX_UNUSED_TERMS:
             self.rules = used
         if self.journal.damaged:
-            self.doubt()
+            self.assume_all_may_have_run()
         if self.journal.damaged or unused:
             try:
                 self.rewrite()
             except OSError as problem:
                 event("journal.blocked", why=str(problem))
-                self.well = False  # the next write begins with a rewrite
-        if bad or self.journal.dropped:
-            event("journal.torn", records=bad, bytes=self.journal.dropped)
+                self.in_sync = False  # the next write begins with a rewrite
+        if invalid or self.journal.dropped:
+            event("journal.torn", records=invalid, bytes=self.journal.dropped)
         self.adopt()
-        self.from_own_file = set()
+        self.ids_from_own_file = set()
 
     def read(self, payloads: list[bytes]) -> int:
-        """Apply what a file says; returns how many records make no sense."""
-        bad = 0
+        """Apply the records of a file; returns how many are invalid."""
+        invalid = 0
         for payload in payloads:
             try:
                 self.apply(payload)
             except (ValueError, KeyError, TypeError, IndexError):
-                bad += 1
-        return bad
+                invalid += 1
+        return invalid
 
-    def doubt(self) -> None:
-        """Pushes may have been written behind damage: all that came before it may have run."""
+    def assume_all_may_have_run(self) -> None:
+        """Treat every notification as one that may have run: records of pushes may be lost behind damage."""
         for owed in self.owed.values():
-            owed.maybe_at = min(owed.maybe_at, LONG_AGO)
+            owed.maybe_at = min(owed.maybe_at, DISTANT_PAST)
 
-    # -- promises: written first, and not made where there is no room --------------------------------
+    # -- written before they take effect, and refused where they cannot be written --------------------
 
     def has_room(self, body: bytes) -> bool:
-        return self.live + len(body) + 2 * HISTORY <= self.journal.most * LIVE_PART
+        """Whether a notification with this body fits."""
+        return self.live_bytes + len(body) + 2 * HISTORY_BYTES <= self.journal.max_bytes * MAX_LIVE_SHARE
 
     def take(self, owed: Owed) -> bool:
+        """Record a new notification; False if it was not written."""
         if not self.has_room(owed.body):
             return False
         if owed.rules and owed.rules not in self.rules and not self.write(record("rules", "", owed.rules)):
             return False
-        return self.write(self.taken(owed))
+        return self.write(self.taken_record(owed))
 
-    def push(self, name: str, push: int, at: float) -> bool:
-        payload = record("push", name, push, at)
-        if name in self.guests:
+    def push(self, name: str, push: int, time: float) -> bool:
+        """Record that a push goes out at `time`; False if it was not written."""
+        payload = record("push", name, push, time)
+        if name in self.foreign_ids:
             self.apply(payload)
             return True
         return self.write(payload)
 
-    # -- what has happened: known to this life even where it cannot be written ------------------------
+    # -- facts: applied in memory even where they cannot be written -----------------------------------
 
-    def alone(self, name: str) -> None:
-        self.note(name, record("alone", name))
+    def mark_unreplicated(self, name: str) -> None:
+        """Record that no guard has or will have a copy."""
+        self.write_or_apply(name, record("alone", name))
 
-    def welcome(self, owed: Owed) -> None:
-        """One of another relay's, taken over: in memory only."""
-        self.guests.add(owed.id)
+    def add_foreign(self, owed: Owed) -> None:
+        """Add a notification taken over from another relay: in memory only."""
+        self.foreign_ids.add(owed.id)
         self.owed[owed.id] = owed
-        self.resize(owed, len(owed.body) + 2 * HISTORY)
+        self.resize(owed, len(owed.body) + 2 * HISTORY_BYTES)
 
-    def is_guest(self, name: str) -> bool:
-        return name in self.guests
+    def is_foreign(self, name: str) -> bool:
+        """Whether the notification was taken over from another relay."""
+        return name in self.foreign_ids
 
     def outcome(self, name: str, push: int, never_ran: bool) -> None:
-        self.note(name, record("outcome", name, push, never_ran))
+        """Record the end of a push. never_ran: it is certain that the endpoint did not process it."""
+        self.write_or_apply(name, record("outcome", name, push, never_ran))
 
     def owe_notice(self, name: str, notice: dict) -> bool:
-        """Whether it is written, or kept by others."""
-        return self.note(name, record("notice", name, notice))
+        """Record the notice that is owed; returns whether it is written, or stored by guards."""
+        return self.write_or_apply(name, record("notice", name, notice))
+
+    def finish(self, name: str) -> None:
+        """Record that nothing is owed of the notification any more."""
+        self.write_or_apply(name, record("over", name))
 
-    def over(self, name: str) -> None:
-        self.note(name, record("over", name))
+    def write_or_apply(self, name: str, payload: bytes) -> bool:
+        """Write and apply a record, or only apply it where it cannot be written.
 
-    def note(self, name: str, payload: bytes) -> bool:
-        """Whether it is written, or need not be."""
+        Returns whether it is written, or need not be.
+        """
         if name not in self.owed:
             return True
-        if name not in self.guests and self.write(payload):
+        if name not in self.foreign_ids and self.write(payload):
             return True
         self.apply(payload)
-        return name in self.guests
+        return name in self.foreign_ids
 
     def write(self, payload: bytes) -> bool:
+        """Append a record and apply it, with a rewrite first where one is needed; False if it failed."""
         try:
             payloads = [*self.head(), payload]
-            size, more = self.journal.size, sum(len(each) + FRAME.size for each in payloads)
-            large = size > DEAD * self.live + SMALL or not self.journal.fits(more, self.live)
-            # Where hardly any of it is dead, as once the allowance is halved, a rewrite wins nothing: one a
-            # record is seconds in which nobody is heard. After a failure the file may lack what has happened.
-            gains = size > self.live + DEAD_PART * self.journal.most or size + more > self.journal.most
-            if self.must_rewrite() or (large and gains):
+            size, added = self.journal.size, sum(len(each) + FRAME.size for each in payloads)
+            threshold = REWRITE_SIZE_RATIO * self.live_bytes + REWRITE_MIN_BYTES
+            large = size > threshold or not self.journal.fits(added, self.live_bytes)
+            # Where hardly any bytes are dead, as once the allowance is halved, a rewrite gains nothing, and
+            # one per record would block the relay for seconds. After a failed write the file may lack facts.
+            gains = (
+                size > self.live_bytes + MIN_DEAD_SHARE * self.journal.max_bytes
+                or size + added > self.journal.max_bytes
+            )
+            if self.needs_rewrite() or (large and gains):
                 self.rewrite()
                 payloads = [payload]
             self.journal.append(*payloads)
         except OSError as problem:
-            if self.well:
+            if self.in_sync:
                 event("journal.blocked", why=str(problem))
-            self.well = False
+            self.in_sync = False
             return False
-        if not self.well:
+        if not self.in_sync:
             event("journal.flowing")
-        self.well = True
+        self.in_sync = True
         for each in payloads:
             self.apply(each)
         return True
 
     def write_all(self) -> bool:
-        """Whether the file has all that has happened; it is written anew where it has not."""
-        if not self.must_rewrite():
+        """Rewrite the file if it lacks facts; returns whether it now holds everything."""
+        if not self.needs_rewrite():
             return True
         try:
             self.rewrite()
         except OSError:
             return False
-        self.well = True
+        self.in_sync = True
         event("journal.flowing")
         return True
 
-    def must_rewrite(self) -> bool:
-        """Whether the file lacks what has happened, or can't go on as it stands."""
-        return not self.well or self.journal.tail_left
+    def needs_rewrite(self) -> bool:
+        """Whether the file lacks facts, or cannot be appended to."""
+        return not self.in_sync or self.journal.tail_remains
 
     def rewrite(self) -> None:
+        """Replace the file by one with the live records only; raises OSError."""
         self.timeline_written = False
         named = [record("rules", "", each) for each in self.rules]
         named += [record("adopted", *identity) for identity in sorted(self.adopted)]
-        ours = (owed for owed in self.owed.values() if owed.id not in self.guests)
-        self.journal.rewrite([*self.head(), *named, *(p for owed in ours for p in self.summary(owed))])
+        ours = (owed for owed in self.owed.values() if owed.id not in self.foreign_ids)
+        self.journal.rewrite([*self.head(), *named, *(p for owed in ours for p in self.records_of(owed))])
         self.timeline_written = True
 
     def head(self) -> list[bytes]:
-        """The record of our timeline, unless the file has it."""
+        """The record of our timeline, unless the file has it already."""
         if self.timeline_written or self.timeline is None:
             return []
         return [record("clock", "", self.timeline.boot, self.timeline.offset, self.timeline.began)]
--- a/ryestack/store/remembered.py
+++ b/ryestack/store/remembered.py
@@ -1,8 +1,9 @@
-"""What a relay had learnt, in its folder, for its next life: a kill takes the process, not the world it knew.
+"""What a relay has learnt about its endpoints, saved in its folder for the next process.
 
-Two files of JSON beside the journal, each written whole and put in place in one step: all that is learnt,
-every few seconds; and which routes fail, at once, since a partner may be back cold while no process is there
-to see it. They are no promise: where one cannot be written or read, or is old, a life begins without it.
+Two JSON files beside the journal, each written completely and put in place by a rename: all that is learnt,
+every few seconds; and the failing routes, at once, since a partner may recover and be cold while no process
+is running to see it. Both are best effort: where one cannot be written or read, or is old, a process starts
+without it.
 """
 
 import json
@@ -13,83 +14,88 @@
 from pathlib import Path
 
 NAME, FAILING = "learnt", "failing"
-# Bytes of the folder's allowance that each may take, with the new one beside the old.
+# Bytes of the folder's allowance that each may take, with the replacement beside the old file.
 MOST_OF = {NAME: 256 * 1024, FAILING: 64 * 1024}
 MOST = sum(MOST_OF.values())
-OVERHEAD, ROW = 256, 32  # bytes of the file but its rows, and of a row but its name
-OLD = 60.0  # seconds: what was learnt is of a minute at most, as an outage is remembered
+OVERHEAD_BYTES, ROW_OVERHEAD_BYTES = 256, 32  # of the file without its rows, of a row without its name
+MAX_AGE_S = 60.0  # older state is ignored: an outage is remembered for one minute at most
 
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """clock: the machine's monotonic clock, as the times in what is learnt are told; boot: names the boot
-    that it counts from. The wall clock is not asked: it may be stepped."""
+    """A time that is comparable across processes of one machine.
+
+    clock: the machine's monotonic clock in seconds, which the learnt state uses as well; boot: identifies the
+    boot that it counts from. The wall clock is not used: it may be stepped.
+    """
 
     clock: float
     boot: str
 
     def is_soon_after(self, before: "Moment") -> bool:
-        return self.boot == before.boot and 0.0 <= self.clock - before.clock < OLD
+        """Whether `before` is at most MAX_AGE_S earlier, in the same boot."""
+        return self.boot == before.boot and 0.0 <= self.clock - before.clock < MAX_AGE_S
 
 
 @dataclass(frozen=True, slots=True)
 class Remembered:
-    """learnt: as learned_state tells it, None if nothing is left of it; failing: route to when it began."""
+    """What was loaded. learnt: as learned_state exports it, None if there is none or it is outdated;
+    failing: route to the time at which it began to fail."""
 
     learnt: dict | None
     failing: dict[str, float]
 
 
 def save(folder: str, learnt: dict, under: str, now: Moment) -> None:
-    """under: a mark of the settings."""
+    """Save the learnt state, if it fits. under: a checksum of the settings that it belongs to."""
     _write(folder, NAME, {"under": under, "clock": now.clock, "boot": now.boot, "learnt": learnt})
 
 
 def save_failing(folder: str, failing: dict[str, float], now: Moment) -> None:
-    """Those that began last, where not all fit: an outage of long ago is in what is learnt as well."""
-    room, kept = MOST_OF[FAILING] // 2 - OVERHEAD, {}
-    for name, at in sorted(failing.items(), key=lambda row: row[1], reverse=True):
-        room -= len(name) + ROW
-        if room < 0:
+    """Save the failing routes, the latest ones if not all fit: older outages are in the learnt state too."""
+    remaining_bytes, kept = MOST_OF[FAILING] // 2 - OVERHEAD_BYTES, {}
+    for name, began in sorted(failing.items(), key=lambda row: row[1], reverse=True):
+        remaining_bytes -= len(name) + ROW_OVERHEAD_BYTES
+        if remaining_bytes < 0:
             break
-        kept[name] = at
+        kept[name] = began
     failing = kept
     _write(folder, FAILING, {"clock": now.clock, "boot": now.boot, "failing": failing})
 
 
 def load(folder: str, under: str, now: Moment) -> Remembered:
-    """What the life before had learnt: nothing of another time, boot or settings."""
-    whole, latest = _read(folder, NAME, now), _read(folder, FAILING, now)
-    learnt = whole.get("learnt") if whole and whole.get("under") == under else None
+    """What the previous process had learnt; nothing if it is too old or of another boot or settings."""
+    full, latest = _read(folder, NAME, now), _read(folder, FAILING, now)
+    learnt = full.get("learnt") if full and full.get("under") == under else None
     learnt = learnt if isinstance(learnt, dict) else None
-    if not latest or (learnt is not None and latest["clock"] < whole["clock"]):
+    if not latest or (learnt is not None and latest["clock"] < full["clock"]):
         return Remembered(learnt, {})
     found = latest.get("failing")
     pairs = found.items() if isinstance(found, dict) else ()
-    return Remembered(learnt, {name: at for name, at in pairs if isinstance(at, float)})
+    return Remembered(learnt, {name: began for name, began in pairs if isinstance(began, float)})
 
 
 def _write(folder: str, name: str, table: dict) -> None:
     text = json.dumps(table, separators=(",", ":")).encode()
     data = b"%08x\n" % zlib.crc32(text) + text
-    fresh = Path(folder) / f"{name}.new"
+    replacement = Path(folder) / f"{name}.new"
     if len(data) > MOST_OF[name] // 2:
         return
     try:
-        fresh.write_bytes(data)
-        os.replace(fresh, Path(folder) / name)
+        replacement.write_bytes(data)
+        os.replace(replacement, Path(folder) / name)
     except OSError:
         with suppress(OSError):
-            fresh.unlink()
+            replacement.unlink()
 
 
 def _read(folder: str, name: str, now: Moment) -> dict | None:
     try:
-        mark, _, text = (Path(folder) / name).read_bytes().partition(b"\n")
-        if int(mark, 16) != zlib.crc32(text):  # damaged: a module must not begin with it, start after start
+        checksum, _, text = (Path(folder) / name).read_bytes().partition(b"\n")
+        if int(checksum, 16) != zlib.crc32(text):  # damaged: every start would load the same damage
             return None
-        told = json.loads(text)
-        before = Moment(float(told["clock"]), str(told["boot"]))
-        return told if now.is_soon_after(before) else None
+        table = json.loads(text)
+        saved_at = Moment(float(table["clock"]), str(table["boot"]))
+        return table if now.is_soon_after(saved_at) else None
     except (OSError, ValueError, TypeError, KeyError, RecursionError):
         return None
--- a/ryestack/store/scope_file.py
+++ b/ryestack/store/scope_file.py
@@ -1,8 +1,8 @@
-"""What a relay last had in force from the control machines, in its folder: a start with none of them in reach
-serves by it.
+"""The scope that a relay last received from the control machines, saved in its folder, so that a start that
+reaches none of them can serve.
 
-A file written whole and put in place in one step, with a checksum in front. Where it cannot be written or
-read, or is of another cluster or relay, a life begins with nothing and fetches its scope.
+The file starts with a checksum, is written completely and put in place by a rename. Where it cannot be
+written or read, or belongs to another cluster or relay, a process starts with nothing and fetches its scope.
 """
 
 import os
@@ -21,9 +21,12 @@
 
 
 class SavedScope(msgspec.Struct, frozen=True):
-    """session: of the process that wrote it; confirmed_at: when what is in force was last known to be the
-    newest, seconds of the wall's clock, 0 if never; leaving: entries of destinations that have left the scope
-    while the relay still owes something of them."""
+    """The contents of the file.
+
+    session: of the process that wrote it; confirmed_at: when the scope was last known to be current, in
+    seconds of the wall clock, 0 if never; leaving: entries of destinations that have left the scope while the
+    relay still has open notifications for them.
+    """
 
     format: int
     cluster: str
@@ -34,29 +37,29 @@
     leaving: list[Entry]
 
 
-def save(folder: str, saved: SavedScope, most: int) -> bool:
-    """Whether it is kept; most: bytes that the file and the one that takes its place may have together."""
+def save(folder: str, saved: SavedScope, max_bytes: int) -> bool:
+    """Returns whether it was saved. max_bytes: for the file and its replacement together."""
     text = msgspec.msgpack.encode(saved)
     data = zlib.crc32(text).to_bytes(CHECKSUM_BYTES, "big") + text
-    fresh = Path(folder) / f"{NAME}.new"
-    if len(data) > most // 2:
+    replacement = Path(folder) / f"{NAME}.new"
+    if len(data) > max_bytes // 2:
         return False
     try:
-        fresh.write_bytes(data)
-        os.replace(fresh, Path(folder) / NAME)
+        replacement.write_bytes(data)
+        os.replace(replacement, Path(folder) / NAME)
         return True
     except OSError:
         with suppress(OSError):
-            fresh.unlink()
+            replacement.unlink()
         return False
 
 
 def load(folder: str, cluster: str, relay: str) -> SavedScope | None:
-    """None where there is none, or one that is damaged, of another form, cluster or relay."""
+    """The saved scope; None if there is none, or it is damaged or of another format, cluster or relay."""
     try:
         data = (Path(folder) / NAME).read_bytes()
-        mark, text = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
-        if int.from_bytes(mark, "big") != zlib.crc32(text):
+        checksum, text = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+        if int.from_bytes(checksum, "big") != zlib.crc32(text):
             return None
         saved = msgspec.msgpack.decode(text, type=SavedScope)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/ryestack/store/timeline.py
+++ b/ryestack/store/timeline.py
@@ -1,9 +1,9 @@
 """The time axis of a journal's records: seconds of the machine's monotonic clock plus a fixed offset.
 
-The wall clock may be stepped between two lives of a relay, its monotonic clock runs on. So the offset is
-taken from the wall clock once, written into the file, and holds for as long as the machine runs: times in
-records look like those of a wall clock and are spans of real time. Only after a boot, which begins the
-monotonic clock anew, the wall clock is all that is left to go by.
+The wall clock may be stepped between two processes of a relay; the monotonic clock continues. So the offset
+is taken from the wall clock once, written into the file, and valid until the machine reboots: times in
+records look like wall-clock times, and their differences are real time spans. Only after a boot, which resets
+the monotonic clock, the wall clock has to be used.
 """
 
 import time
@@ -15,7 +15,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineClock:
-    """The machine's clocks at one moment. boot: names the boot that monotonic counts from, "" if unknown."""
+    """The machine's clocks at one moment, in seconds. boot: identifies the boot that `monotonic` counts from,
+    "" if unknown."""
 
     boot: str
     monotonic: float
@@ -24,33 +25,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """An axis: offset, added to the monotonic clock, gives its times. began: the monotonic clock as it was
-    fixed, boot: the boot that it holds for."""
+    """A time axis. offset: added to the monotonic clock, it gives times on the axis; began: the monotonic
+    clock when the offset was taken; boot: the boot for which it is valid."""
 
     boot: str
     offset: float
     began: float
 
     def now(self, clock: MachineClock) -> float:
-        """That moment on this axis; by the wall clock after a boot."""
+        """The time of `clock` on this axis; the wall clock after a reboot."""
         return clock.monotonic + self.offset if self.boot and self.boot == clock.boot else clock.wall
 
     def shift_to(self, other: "Timeline") -> float:
-        """What to add to a time of this axis for the same moment on the other one, 0.0 across boots."""
+        """The seconds that convert a time of this axis to the other one; 0.0 across boots."""
         same = self.boot and self.boot == other.boot
         return other.offset - self.offset if same else 0.0
 
 
 def read_clock() -> MachineClock:
+    """The machine's clocks now."""
     try:
         boot = BOOT_ID.read_text().strip()
-    except OSError:  # another system, or one that hides it
+    except OSError:  # not Linux, or /proc is hidden
         boot = ""
     return MachineClock(boot, time.monotonic(), time.time())
 
 
 def continued(before: Timeline | None, now: MachineClock) -> Timeline:
-    """The axis that a file already has, where it still holds; else a new one by the wall clock."""
+    """The timeline of the file while it is still valid; else a new one based on the wall clock."""
     if before and before.boot and before.boot == now.boot and now.monotonic >= before.began:
         return before
     return Timeline(now.boot, now.wall - now.monotonic, now.monotonic)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -36,7 +36,7 @@
         old.journal.close()
         self.assertEqual([o.id for o in new.adopt()], ["n", "o"])
         self.assertEqual((new.owed["n"].pushes, new.owed["n"].first_maybe()), (1, 41.0))
-        self.assertEqual(new.journal.beside(), [])
+        self.assertEqual(new.journal.other_files(), [])
         new.journal.close()
         self.assertEqual(sorted(self.process().owed), ["m", "n", "o"])
 
@@ -50,8 +50,8 @@
         Path(self.folder, "owed").write_bytes(kept)
         new.journal.close()
         third = self.process()
-        self.assertEqual((list(third.owed), third.journal.beside()), (["n"], []))
-        self.assertEqual(third.live, third.owed["n"].size)
+        self.assertEqual((list(third.owed), third.journal.other_files()), (["n"], []))
+        self.assertEqual(third.live_bytes, third.owed["n"].size)
 
     def test_a_rewrite_keeps_the_lock_and_a_plain_start_adopts_all(self):
         old, new = self.process(), self.process()
@@ -74,9 +74,9 @@
         new.journal.share(2)
         new.take(owed("m", b"x" * 9000))
         old.journal.close()
-        self.assertEqual((new.adopt(), list(new.owed), new.stuck), ([], ["m"], True))
+        self.assertEqual((new.adopt(), list(new.owed), new.retry_needed), ([], ["m"], True))
         new.journal.share(1)
-        self.assertEqual((len(new.adopt()), len(new.owed), new.journal.beside()), (5, 6, []))
+        self.assertEqual((len(new.adopt()), len(new.owed), new.journal.other_files()), (5, 6, []))
 
     def test_damage_puts_what_came_before_in_doubt(self):
         old = self.process()
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -64,7 +64,7 @@
         while kept.take(Owed(f"n{n}", due, 7, "again", "c", "", "k", b"x" * (20_000 if n < 25 else 1))):
             n += 1
         kept.journal.close()
-        self.assertGreater(kept.live, 0.35 * 1_500_000)
+        self.assertGreater(kept.live_bytes, 0.35 * 1_500_000)
         other, agent = await stand_in(lambda *_: b"")
         began = time.monotonic()
         process = await self.start("127.0.0.1:9", agent)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -82,7 +82,7 @@
         ours.journal.file.fails = False
         self.assertTrue(ours.take(owed("later")))
         ours.journal.close()
-        with mock.patch.object(files, "others", lambda *_: []):
+        with mock.patch.object(files, "other_files", lambda *_: []):
             again = Ledger(Journal(self.folder, 100_000))
             again.recover()
         self.addCleanup(again.journal.close)
@@ -108,8 +108,8 @@
         ours = self.two()
         with mock.patch.object(Path, "unlink", side_effect=OSError(errno.EIO, "i/o error")):
             self.assertEqual([o.id for o in ours.adopt()], ["theirs"])
-            ours.over("theirs")
-            self.assertEqual((ours.adopt(), ours.stuck), ([], True))
+            ours.finish("theirs")
+            self.assertEqual((ours.adopt(), ours.retry_needed), ([], True))
             ours.rewrite()
             ours.journal.close()
             with_it = Ledger(Journal(self.folder, 100_000))
@@ -130,7 +130,7 @@
         with mock.patch.object(Path, "unlink", side_effect=OSError(errno.EIO, "i/o error")):
             ours.adopt()
         ours.push("owed still", 0, 41.0)
-        ours.over("over by now")
+        ours.finish("over by now")
         ours.journal.close()
         for _ in range(2):
             last = self.again()
@@ -150,7 +150,7 @@
                 self.assertTrue(Path(self.folder, "owed.1").exists())
             if not killed:
                 self.assertTrue(ours.push("theirs", 0, 42.0))
-                self.assertEqual((ours.adopt(), ours.journal.beside()), ([], []))
+                self.assertEqual((ours.adopt(), ours.journal.other_files()), ([], []))
             ours.journal.close()
             last = self.again()
             self.assertEqual(sorted(last.owed), ["mine", "theirs"])
@@ -163,7 +163,7 @@
         ours, real = self.two(), files.lock
         busy = OSError(errno.ENFILE, os.strerror(errno.ENFILE))
         with mock.patch.object(files, "lock", side_effect=busy):
-            self.assertEqual((ours.adopt(), ours.stuck), ([], True))
+            self.assertEqual((ours.adopt(), ours.retry_needed), ([], True))
         self.assertIs(files.lock, real)
         self.assertEqual([owed.id for owed in ours.adopt()], ["theirs"])
 
@@ -183,7 +183,7 @@
         gone.take(owed("n"))
         gone.push("n", 0, 41.0)
         ours = Ledger(Journal(self.folder, 100_000), lambda: stepped)
-        with mock.patch.object(Ledger, "timeline_beside", return_value=None):
+        with mock.patch.object(Ledger, "timeline_of_other_files", return_value=None):
             ours.recover()
         gone.journal.close()
         [found] = ours.adopt()
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -156,7 +156,7 @@
 
         def end(ledger, name):
             ending.add(name)
-            ledger.over(name)
+            ledger.finish(name)
             over.add(name)
 
         def live():
@@ -200,7 +200,7 @@
             for one in found:
                 self.assertIn((last.owed[one].pushes, last.owed[one].first_maybe()), ((0, inf), (1, 40.0)))
             self.assertEqual(len(os.listdir(self.folder)), 1)
-            self.assertEqual(last.live, sum(o.size for o in last.owed.values()))
+            self.assertEqual(last.live_bytes, sum(o.size for o in last.owed.values()))
         self.assertGreater(at, 15)
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -77,7 +77,7 @@
             kept.take(owed(f"n{i}", b"x" * 300))
             kept.push(f"n{i}", 0, 41.0)
             if i > 5:
-                kept.over(f"n{i - 5}")
+                kept.finish(f"n{i - 5}")
             self.assertLess(kept.journal.size, 40_000)
         self.assertTrue(0 < most < 40_000)
         self.assertEqual(len(self.ledger(40_000).owed), 6)
@@ -86,7 +86,7 @@
         kept = self.ledger(3_000_000)
         for i in range(2000):
             kept.take(owed(f"n{i}", b"x" * 200))
-            kept.over(f"n{i}")
+            kept.finish(f"n{i}")
         self.assertLess(kept.journal.size, 110_000)
 
     def test_hardly_anything_dead_is_no_reason_to_write_all_anew_at_each_record(self):
@@ -109,7 +109,7 @@
             first.push(name, 0, 41.0)
         first.outcome("m", 0, True)
         first.owe_notice("o", {"state": "failed"})
-        first.journal.rewrite([p for one in first.owed.values() for p in first.summary(one)])
+        first.journal.rewrite([p for one in first.owed.values() for p in first.records_of(one)])
         back = self.ledger()
         self.assertEqual(list(back.owed), ["n", "m", "o"])
         self.assertEqual([o.first_maybe() for o in back.owed.values()][:2], [41.0, float("inf")])
@@ -149,7 +149,7 @@
     def test_after_a_rewrite_the_file_goes_on_without_being_opened_again(self):
         kept = self.ledger()
         kept.take(owed("n"))
-        kept.journal.rewrite([p for o in kept.owed.values() for p in kept.summary(o)])
+        kept.journal.rewrite([p for o in kept.owed.values() for p in kept.records_of(o)])
         kept.journal.file.write(b"part")
         kept.journal.file.truncate(kept.journal.size)
         kept.take(owed("m"))
@@ -191,7 +191,7 @@
         blocked = Ledger(Journal(self.folder, 100_000))
         blocked.journal.rewrite = self.no_room
         blocked.recover()
-        self.assertEqual((blocked.well, blocked.take(owed("o"))), (False, False))
+        self.assertEqual((blocked.in_sync, blocked.take(owed("o"))), (False, False))
         blocked.journal.close()
         self.assertEqual(self.ledger().owed["n"].first_maybe(), 0.0)
 
