--- a/benchmarks/capacity_state.py
+++ b/benchmarks/capacity_state.py
@@ -18,7 +18,7 @@
 from ryestack.peers.groups import group
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
-from ryestack.store.owed import Owed, rules_of
+from ryestack.store.owed import Owed, encode_terms
 from ryestack.wire.members import Members
 
 ENDPOINTS = 2  # of a destination
@@ -161,7 +161,7 @@
 
 def ledger_by_messages(messages: int) -> dict[str, float]:
     """Messages owed with one push that failed: file, memory, recovery at a start, a rewrite."""
-    rules = rules_of(TOPIC, 12)
+    rules = encode_terms(TOPIC, 12)
     with tempfile.TemporaryDirectory() as folder:
         ledger = Ledger(Journal(folder, ALLOWANCE))
         ledger.recover()
--- a/ryestack/cli/check.py
+++ b/ryestack/cli/check.py
@@ -5,7 +5,7 @@
 
 import typer
 
-from ..lifecycle.config import BadConfig, Mixed, load
+from ..lifecycle.config import BadConfig, MixedDeployment, load
 from ..operator.layers import BadOperator, choose
 from . import choices
 from .output import FOUND, Json, console, print_json, unusable
@@ -31,7 +31,7 @@
     with tempfile.TemporaryDirectory() as folder:  # which folder lasts is not asked
         try:
             told = load({"LB_CONFIG": path, "LB_STATE": folder}, chosen=chosen)
-        except Mixed as bad:
+        except MixedDeployment as bad:
             raise unusable(bad) from None
         except BadConfig as bad:
             found += str(bad).splitlines()
--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -6,7 +6,7 @@
 from .. import interface
 from ..observe.log import detailed, event
 from ..ports import HandIn, Verdict
-from ..store.owed import Owed, rules_of
+from ..store.owed import Owed, encode_terms
 
 
 class Refusal(Enum):
@@ -61,7 +61,7 @@
     def take(self, message: HandIn) -> None:
         n = message.ntf
         due = n.due + self.wall
-        rules = rules_of(n.terms, n.most) if n.terms else None
+        rules = encode_terms(n.terms, n.most) if n.terms else None
         head = n.id, due, n.destination, n.topic_type, n.customer, n.key, message.key
         owed = Owed(*head, message.body, rules)
         if self.ledger.take(owed):
@@ -75,7 +75,7 @@
 
     def told_taken(self, o: Owed) -> None:
         if detailed():
-            event("ntf.taken", id=o.id, destination=o.dest, topic=o.topic, pushes=o.pushes)
+            event("ntf.taken", id=o.id, destination=o.destination, topic=o.topic, pushes=o.pushes)
 
     def turn_away(self, message: HandIn, why: Refusal, away: float = 0.0) -> None:
         """Not by a decision. away: seconds to stay away, 0 if none is told."""
--- a/ryestack/lifecycle/assembly.py
+++ b/ryestack/lifecycle/assembly.py
@@ -42,7 +42,7 @@
     settings, operator = config.settings, config.operator
     scoped = bool(operator.control.cluster)
     scope_bytes = config.disk // SCOPE_PART if scoped else 0
-    journal_bytes = max(config.disk // 2, config.disk - remembered.MOST - scope_bytes)
+    journal_bytes = max(config.disk // 2, config.disk - remembered.MAX_TOTAL_BYTES - scope_bytes)
     ledger = Ledger(Journal(config.state, journal_bytes))
     owner = Owner(settings, config.seed, ledger, clock, wall)
     platform = Platform(config.discovery)
--- a/ryestack/lifecycle/config.py
+++ b/ryestack/lifecycle/config.py
@@ -14,7 +14,7 @@
     """A configuration that cannot be used; the text says what is wrong in one line."""
 
 
-class Mixed(BadConfig):
+class MixedDeployment(BadConfig):
     """It mixes two shapes of deployment: it cannot be used as it stands."""
 
 
@@ -65,7 +65,7 @@
     try:
         return read(told, state, chosen, environ.get("LB_OPS"))
     except MixedShapes as problem:
-        raise Mixed(f"{path}: {problem}") from None
+        raise MixedDeployment(f"{path}: {problem}") from None
     except (BadSettings, BadList) as problem:
         raise BadConfig(f"{path}: {problem}") from None
     except (*UNREADABLE, AttributeError) as problem:
@@ -114,7 +114,7 @@
     try:
         return _settings(options, config.told, config.operator)
     except MixedShapes as problem:
-        raise Mixed(str(problem)) from None
+        raise MixedDeployment(str(problem)) from None
     except BadSettings as problem:
         raise BadConfig(str(problem)) from None
     except (*UNREADABLE, AttributeError) as problem:
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -133,7 +133,7 @@
         else:
             self.ledger.outcome(o.id, o.push, o.result in NEVER_RAN)
             if owed := self.ledger.owed.get(o.id):
-                owed.last = o.result.value
+                owed.last_result = o.result.value
                 self.replication.ended(owed, o.push, o.result in NEVER_RAN)
         return o
 
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -9,7 +9,7 @@
 from ..interface import Result
 from ..observe.log import detailed, event
 from ..ports import Item
-from ..store.owed import Owed, terms_of
+from ..store.owed import Owed, decode_terms
 
 
 class Unsent(Enum):
@@ -60,9 +60,9 @@
         return Item(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *may)
 
     def broken_rule(self, push: interface.Push, owed: Owed) -> Rule | None:
-        maybe_at, topic = owed.first_maybe() - self.wall, None
+        maybe_at, topic = owed.first_may_have_run_at() - self.wall, None
         if maybe_at < inf:
-            topic, _ = terms_of(owed.topic, owed.rules)
+            topic, _ = decode_terms(owed.topic, owed.terms)
             topic = topic or next((t for t in self.settings.topic_types if t.name == owed.topic), None)
         return self.invariants.check_push(push, owed, topic, self.clock(), owed.due - self.wall, maybe_at)
 
@@ -89,10 +89,10 @@
         for item in items:
             self.invariants.started(item.id, item.push)
             if item.push:
-                self.retries[self.ledger.owed[item.id].last] += 1
+                self.retries[self.ledger.owed[item.id].last_result] += 1
         self.dispatcher.start(endpoint, items)
         for item in items if detailed() else ():
             owed = self.ledger.owed[item.id]
-            facts = {"destination": owed.dest, "after": owed.last or "none"}
+            facts = {"destination": owed.destination, "after": owed.last_result or "none"}
             event("push.began", id=item.id, push=item.push, route=endpoint, **facts)
         self.tell_began(endpoint, items)
--- a/ryestack/lifecycle/recovery.py
+++ b/ryestack/lifecycle/recovery.py
@@ -4,7 +4,7 @@
 
 from .. import interface
 from ..observe.log import event
-from ..store.owed import Owed, terms_of
+from ..store.owed import Owed, decode_terms
 from . import learned_state
 from .upgrade.siblings import Siblings
 
@@ -46,16 +46,16 @@
     def adopt(self, left: list[Owed]) -> None:
         topics, known = {t.name for t in self.settings.topic_types}, []
         for o in left:
-            terms, most = terms_of(o.topic, o.rules)
+            terms, most = decode_terms(o.topic, o.terms)
             if not o.notice and not terms and o.topic not in topics:
                 self.ledger.owe_notice(o.id, {"state": "failed"})
             if o.notice:
                 self.replication.told(o, o.notice, self.notices.add)
             else:
-                maybe = o.first_maybe() - self.wall
+                maybe = o.first_may_have_run_at() - self.wall
                 due = o.due - self.wall
                 self.told_taken(o)
-                head = o.id, due, o.dest, o.topic, o.customer, o.order_key
+                head = o.id, due, o.destination, o.topic, o.customer, o.order_key
                 known.append(interface.Notification(*head, o.pushes, maybe, terms, most))
         event("relay.recovered", owed=len(known), notices=len(left) - len(known))
         self.put(known)
--- a/ryestack/lifecycle/replication/record_codec.py
+++ b/ryestack/lifecycle/replication/record_codec.py
@@ -12,17 +12,17 @@
 
 
 def taken(o: Owed) -> Record:
-    maybe = None if o.maybe_at == inf else o.maybe_at
+    maybe = None if o.may_have_run_at == inf else o.may_have_run_at
     head = [
         o.due,
-        o.dest,
+        o.destination,
         o.topic,
         o.customer,
         o.order_key,
         o.key,
         o.body,
-        o.rules,
-        o.pushes - len(o.open),
+        o.terms,
+        o.pushes - len(o.open_pushes),
         maybe,
     ]
     return Record(o.id, _write(["taken", *head]), due=o.due)
@@ -30,7 +30,7 @@
 
 def all_of(o: Owed) -> list[Record]:
     """A notification with the history it has."""
-    facts = [taken(o), *(pushed(o, push, at, o.busy) for push, at in o.open.items())]
+    facts = [taken(o), *(pushed(o, push, at, o.busy_until) for push, at in o.open_pushes.items())]
     return [*facts, noticed(o, o.notice)] if o.notice else facts
 
 
@@ -62,15 +62,15 @@
                 maybe = inf if maybe is None else maybe
                 made = Owed(record.id, due, dest, topic, customer, order_key, key, body, rules, pushes, maybe)
             elif kind == "push":
-                made.open[rest[0]], made.pushes = rest[1], made.pushes + 1
+                made.open_pushes[rest[0]], made.pushes = rest[1], made.pushes + 1
                 out[rest[0]] = float(rest[2])
             elif kind == "outcome":
-                sent, _ = made.open.pop(rest[0], inf), out.pop(rest[0], None)
-                made.maybe_at = made.maybe_at if rest[1] else min(made.maybe_at, sent)
+                sent, _ = made.open_pushes.pop(rest[0], inf), out.pop(rest[0], None)
+                made.may_have_run_at = made.may_have_run_at if rest[1] else min(made.may_have_run_at, sent)
             elif kind == "notice":
                 made.notice = rest[0]
     except (msgspec.MsgspecError, ValueError, TypeError, AttributeError, KeyError, IndexError):
         return None
     if made:
-        made.busy = max(out.values(), default=0.0)
+        made.busy_until = max(out.values(), default=0.0)
     return made
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -146,7 +146,7 @@
             return None
         number = owed.pushes - 1
         until = self.now() + self.owner.wall + push.timeout
-        at = self.write(shard, [record_codec.pushed(owed, number, owed.open.get(number, 0.0), until)])
+        at = self.write(shard, [record_codec.pushed(owed, number, owed.open_pushes.get(number, 0.0), until)])
         if owed.effect(self.owner.settings) is Effect.REPEATABLE:
             return min(push.begin, left), None
         cleared = asyncio.get_running_loop().create_future()
@@ -198,7 +198,7 @@
         self.flush()
 
     def inherited(self, left: list) -> list:
-        mine = [owed for owed in left if owed.alone or not self.lives.before]
+        mine = [owed for owed in left if owed.unreplicated or not self.lives.before]
         self.stray |= {owed.id: owed for owed in left if owed not in mine}
         if self.stray and self.regained >= set(
             self.lives.before
--- a/ryestack/lifecycle/replication/takeover.py
+++ b/ryestack/lifecycle/replication/takeover.py
@@ -29,8 +29,8 @@
                 self.counts["taken over"] += 1
                 ledger.add_foreign(owed)
             else:  # our own life before is over, and its calls with it
-                known.join(owed)
-                known.busy = 0.0
+                known.merge_history(owed)
+                known.busy_until = 0.0
             begun.append(ledger.owed[owed.id])
         self.acted = self.acted or shard is self.node.own
         event("seat.acts", seat=shard.name[0], life=shard.name[1], owed=len(begun), epoch=shard.epoch)
@@ -67,7 +67,7 @@
         covered, wall = self.acts(shard), self.now() + self.owner.wall
         for each in owed:
             if each.due <= wall:  # another may have ended it, and what is over is remembered so long only
-                each.maybe_at = 0.0
+                each.may_have_run_at = 0.0
             self.stray.pop(each.id, None)
             self.paused.discard(each.id)
             self.shard_of.pop(each.id, None)
@@ -77,16 +77,16 @@
                 self.owner.ledger.mark_unreplicated(each.id)
         if covered:
             self.write(shard, [record for each in owed for record in record_codec.all_of(each)])
-        self.owner.adopt([each for each in owed if each.busy <= wall])
-        for each in (o for o in owed if o.busy > wall):
+        self.owner.adopt([each for each in owed if each.busy_until <= wall])
+        for each in (o for o in owed if o.busy_until > wall):
             loop = asyncio.get_running_loop()  # never two pushes out: its relay may merely stand still
-            loop.call_later(min(each.busy, each.due - EARLY) - wall, self.resume, each.id, shard)
+            loop.call_later(min(each.busy_until, each.due - EARLY) - wall, self.resume, each.id, shard)
 
     def resume(self, name: str, shard: Shard) -> None:
         """What may have been out is over now."""
         owed = self.owner.ledger.owed.get(name)
         if owed and self.shard_of.get(name) is shard and name not in self.paused:
-            owed.busy = 0.0
+            owed.busy_until = 0.0
             self.owner.adopt([owed])
 
     def on_lapsed(self, shard: Shard) -> None:
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -177,7 +177,7 @@
 
     def _owed(self) -> set[int]:
         """Destinations of which something is to be delivered, or was just handed in."""
-        owed = {owed.dest for owed in self.owner.ledger.owed.values() if not owed.notice}
+        owed = {owed.destination for owed in self.owner.ledger.owed.values() if not owed.notice}
         return owed | {each.ntf.destination for each in self.owner.queue if isinstance(each, HandIn)}
 
     def _save(self) -> None:
--- a/ryestack/store/adoption.py
+++ b/ryestack/store/adoption.py
@@ -102,9 +102,9 @@
     def copy(self, new: list[Owed], stale: list[str], identity: FileIdentity | None) -> None:
         """Append the records of `new`. stale: ids in our file that another process had adopted since;
         identity: of the adopted file, None if it owed nothing. Raises NoRoom, with nothing copied."""
-        rules = [owed.rules for owed in new if owed.rules and owed.rules not in self.rules]
+        rules = [owed.terms for owed in new if owed.terms and owed.terms not in self.known_terms]
         rules = [each for n, each in enumerate(rules) if each not in rules[:n]]
-        numbers = [*self.rules, *rules]
+        numbers = [*self.known_terms, *rules]
         payloads = [record("over", name) for name in stale]
         payloads += [record("rules", "", each) for each in rules]
         payloads += [payload for owed in new for payload in self.records_of(owed, numbers)]
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -30,29 +30,33 @@
 
 
 @dataclass(slots=True)
-class Found:
+class JournalReport:
     """The contents of a file: as the next start reads it, and what follows the first damage."""
 
     path: str
     size: int = 0
     records: int = 0
-    senseless: list[int] = field(default_factory=list)  # offsets of complete records with invalid content
+    invalid_offsets: list[int] = field(
+        default_factory=list
+    )  # offsets of complete records with invalid content
     damage: list[Damage] = field(default_factory=list)
     owed: dict[str, Owed] = field(default_factory=dict)
-    behind: dict[str, Owed] = field(default_factory=dict)  # owed by records that a start would drop
-    rewriting: bool = False  # an unfinished rewrite of the file exists
+    owed_behind_damage: dict[str, Owed] = field(
+        default_factory=dict
+    )  # owed by records that a start would drop
+    rewrite_pending: bool = False  # an unfinished rewrite of the file exists
     timeline: Timeline | None = None  # of the times in the file; None: they are wall-clock times
 
     def now(self, clock: MachineClock) -> float:
         """The current time on the file's timeline, in seconds."""
         return self.timeline.now(clock) if self.timeline else clock.wall
 
-    def sound(self) -> bool:
+    def is_sound(self) -> bool:
         """Whether the file has no damage beyond what a kill during a write leaves."""
-        return not self.senseless and all(d.tail for d in self.damage)
+        return not self.invalid_offsets and all(d.tail for d in self.damage)
 
 
-def inspect(folder: str) -> list[Found]:
+def inspect(folder: str) -> list[JournalReport]:
     """A report for each journal file of the folder, and for the first one even if it does not exist.
 
     Raises NoJournal.
@@ -63,8 +67,8 @@
     return [_inspect(path) for path in [first, *files.other_files(Path(folder), first)]]
 
 
-def _inspect(path: Path) -> Found:
-    found = Found(str(path), rewriting=files.replacement_path(path).exists())
+def _inspect(path: Path) -> JournalReport:
+    found = JournalReport(str(path), rewrite_pending=files.replacement_path(path).exists())
     try:
         data = path.read_bytes() if path.exists() else b""
     except OSError as problem:
@@ -83,16 +87,16 @@
             found.damage.append(Damage(offset, begin - offset, begin == len(data)))
             offset = begin
     found.timeline = ledger.timeline
-    found.behind = {name: owed for name, owed in ledger.owed.items() if name not in found.owed}
+    found.owed_behind_damage = {name: owed for name, owed in ledger.owed.items() if name not in found.owed}
     return found
 
 
-def _apply(found: Found, ledger: Ledger, records: list[bytes], offset: int) -> None:
+def _apply(found: JournalReport, ledger: Ledger, records: list[bytes], offset: int) -> None:
     for payload in records:
         try:
             ledger.apply(payload)
         except (ValueError, KeyError, TypeError, IndexError, AttributeError):
-            found.senseless.append(offset)
+            found.invalid_offsets.append(offset)
         found.records += 1
         offset += FRAME.size + len(payload)
 
@@ -101,34 +105,34 @@
     return Owed(
         o.id,
         o.due,
-        o.dest,
+        o.destination,
         o.topic,
         o.customer,
         o.order_key,
         "",
         b"",
-        o.rules,
+        o.terms,
         o.pushes,
-        o.maybe_at,
-        dict(o.open),
+        o.may_have_run_at,
+        dict(o.open_pushes),
         o.notice,
     )
 
 
-def row(owed: Owed, now: float) -> dict:
+def summary_row(owed: Owed, now: float) -> dict:
     """One notification for display, without key and body.
 
     now and the times in the result are in seconds of the file's timeline.
     """
-    first = owed.first_maybe()
+    first = owed.first_may_have_run_at()
     return {
         "id": owed.id,
-        "destination": owed.dest,
+        "destination": owed.destination,
         "topic_type": owed.topic,
         "customer": owed.customer,
         "due_in_s": round(owed.due - now, 3),
         "pushes": owed.pushes,
-        "out": sorted(owed.open),
+        "out": sorted(owed.open_pushes),
         "may_have_run": first < inf,
         "first_may_have_run_at": None if first == inf else first,
         "notice": owed.notice,
--- a/ryestack/store/ledger.py
+++ b/ryestack/store/ledger.py
@@ -33,7 +33,7 @@
         self.read_clock, self.timeline = read, None
         self.timeline_written = False
         self.foreign_ids: set[str] = set()  # owed for another relay: its guards store them, our file does not
-        self.rules: list[list] = []  # terms that the file has records of, by number
+        self.known_terms: list[list] = []  # terms that the file has records of, by number
 
     def recover(self) -> None:
         """Read the records of earlier processes; an invalid record is skipped.
@@ -45,9 +45,9 @@
         self.timeline = continued(found or self.timeline_of_other_files(), now)
         self.timeline_written = found == self.timeline
         self.ids_from_own_file = set(self.owed)
-        used = [rules for rules in self.rules if any(o.rules == rules for o in self.owed.values())]
-        if unused := len(self.rules) - len(used) > MAX_UNUSED_TERMS:
-            self.rules = used
+        used = [rules for rules in self.known_terms if any(o.terms == rules for o in self.owed.values())]
+        if unused := len(self.known_terms) - len(used) > MAX_UNUSED_TERMS:
+            self.known_terms = used
         if self.journal.damaged:
             self.assume_all_may_have_run()
         if self.journal.damaged or unused:
@@ -74,7 +74,7 @@
     def assume_all_may_have_run(self) -> None:
         """Treat every notification as one that may have run: records of pushes may be lost behind damage."""
         for owed in self.owed.values():
-            owed.maybe_at = min(owed.maybe_at, DISTANT_PAST)
+            owed.may_have_run_at = min(owed.may_have_run_at, DISTANT_PAST)
 
     # -- written before they take effect, and refused where they cannot be written --------------------
 
@@ -86,7 +86,11 @@
         """Record a new notification; False if it was not written."""
         if not self.has_room(owed.body):
             return False
-        if owed.rules and owed.rules not in self.rules and not self.write(record("rules", "", owed.rules)):
+        if (
+            owed.terms
+            and owed.terms not in self.known_terms
+            and not self.write(record("rules", "", owed.terms))
+        ):
             return False
         return self.write(self.taken_record(owed))
 
@@ -186,7 +190,7 @@
     def rewrite(self) -> None:
         """Replace the file by one with the live records only; raises OSError."""
         self.timeline_written = False
-        named = [record("rules", "", each) for each in self.rules]
+        named = [record("rules", "", each) for each in self.known_terms]
         named += [record("adopted", *identity) for identity in sorted(self.adopted)]
         ours = (owed for owed in self.owed.values() if owed.id not in self.foreign_ids)
         self.journal.rewrite([*self.head(), *named, *(p for owed in ours for p in self.records_of(owed))])
--- a/ryestack/store/owed.py
+++ b/ryestack/store/owed.py
@@ -16,49 +16,49 @@
 
     id: str
     due: float
-    dest: int
+    destination: int
     topic: str
     customer: str
     order_key: str
     key: str
     body: bytes
-    rules: list | None = None  # the terms it was accepted under, as rules_of encodes them
+    terms: list | None = None  # the terms it was accepted under, as encode_terms encodes them
     pushes: int = 0  # sent so far
-    maybe_at: float = inf  # when the first push was sent that ended and may have run
-    open: dict[int, float] = field(default_factory=dict)  # pushes without an outcome: when they were sent
+    may_have_run_at: float = inf  # when the first push was sent that ended and may have run
+    open_pushes: dict[int, float] = field(default_factory=dict)  # without an outcome: when they were sent
     notice: dict | None = None
     size: int = 0  # bytes of the journal reserved for it
     heard: object = None  # in the process that accepted it: whether its client got the answer
-    busy: float = 0.0  # until when another relay may have a push in flight, on the wall clock; 0 if none
-    last: str = ""  # how its last push ended, in this process
-    alone: bool = False  # no guard has or will have a copy: no other relay acts on it
+    busy_until: float = 0.0  # another relay may have a push in flight until then, wall clock; 0 if none
+    last_result: str = ""  # how its last push ended, in this process
+    unreplicated: bool = False  # no guard has or will have a copy: no other relay acts on it
 
-    def first_maybe(self) -> float:
+    def first_may_have_run_at(self) -> float:
         """When the first push was sent that may have run; inf if none."""
-        return min([self.maybe_at, *self.open.values()])
+        return min([self.may_have_run_at, *self.open_pushes.values()])
 
     def effect(self, settings: interface.Settings) -> interface.Effect:
         """The effect of a repeat, by the terms it was accepted under, else by the current settings."""
-        terms, _ = terms_of(self.topic, self.rules)
+        terms, _ = decode_terms(self.topic, self.terms)
         known = {topic.name: topic.effect for topic in settings.topic_types}
         return terms.effect if terms else known.get(self.topic, interface.Effect.ONCE_ONLY)
 
     def shift(self, seconds: float) -> None:
         """Convert its times to another timeline."""
         self.due += seconds
-        self.maybe_at += seconds
-        self.busy += seconds if self.busy else 0.0
-        self.open = {push: sent + seconds for push, sent in self.open.items()}
+        self.may_have_run_at += seconds
+        self.busy_until += seconds if self.busy_until else 0.0
+        self.open_pushes = {push: sent + seconds for push, sent in self.open_pushes.items()}
 
-    def join(self, other: "Owed") -> None:
+    def merge_history(self, other: "Owed") -> None:
         """Merge the history of another copy, in the cautious sense: what may have run in either, may have."""
-        self.maybe_at = min(self.maybe_at, other.maybe_at)
-        self.open |= other.open
+        self.may_have_run_at = min(self.may_have_run_at, other.may_have_run_at)
+        self.open_pushes |= other.open_pushes
         self.pushes = max(self.pushes, other.pushes)
         self.notice = self.notice or other.notice
 
 
-def rules_of(topic: interface.TopicType, max_pushes: int) -> list:
+def encode_terms(topic: interface.TopicType, max_pushes: int) -> list:
     """The terms of a notification as the journal stores them."""
     fields = [
         topic.objective,
@@ -72,7 +72,7 @@
     return [topic.effect.value, *fields, max_pushes]
 
 
-def terms_of(name: str, rules: list | None) -> tuple[interface.TopicType | None, int]:
+def decode_terms(name: str, rules: list | None) -> tuple[interface.TopicType | None, int]:
     """The topic type and maximum number of pushes of stored terms; (None, 0) for None."""
     if rules is None:
         return None, 0
--- a/ryestack/store/records.py
+++ b/ryestack/store/records.py
@@ -4,7 +4,7 @@
 from math import inf
 
 from .journal import FileIdentity
-from .owed import Owed, record, terms_of
+from .owed import Owed, decode_terms, record
 from .timeline import Timeline
 
 HISTORY_BYTES = 256  # reserved for the records of a notification's pushes in a rewritten file
@@ -16,17 +16,17 @@
 
     def taken_record(self, owed: Owed, numbers: list | None = None) -> bytes:
         """numbers: the terms by number, by default those that the file has records of."""
-        maybe_at = None if owed.maybe_at == inf else owed.maybe_at
-        ended = owed.pushes - len(owed.open)
-        rules = (numbers or self.rules).index(owed.rules) if owed.rules else None
-        head = [owed.id, owed.due, owed.dest, owed.topic, owed.customer, owed.order_key, owed.key]
+        maybe_at = None if owed.may_have_run_at == inf else owed.may_have_run_at
+        ended = owed.pushes - len(owed.open_pushes)
+        rules = (numbers or self.known_terms).index(owed.terms) if owed.terms else None
+        head = [owed.id, owed.due, owed.destination, owed.topic, owed.customer, owed.order_key, owed.key]
         return record("taken", *head, ended, maybe_at, rules, body=owed.body)
 
     def records_of(self, owed: Owed, numbers: list | None = None) -> list[bytes]:
         """All records of a notification in its current state."""
         payloads = [self.taken_record(owed, numbers)]
-        payloads += [record("push", owed.id, push, sent) for push, sent in owed.open.items()]
-        payloads += [record("alone", owed.id)] if owed.alone else []
+        payloads += [record("push", owed.id, push, sent) for push, sent in owed.open_pushes.items()]
+        payloads += [record("alone", owed.id)] if owed.unreplicated else []
         return payloads + ([record("notice", owed.id, owed.notice)] if owed.notice else [])
 
     def apply(self, payload: bytes) -> None:
@@ -38,7 +38,7 @@
     def on_taken(self, name: str, rest: list, body: bytes) -> None:
         # Files of older versions have no terms.
         due, dest, topic, customer, order_key, key, pushes, maybe_at, *rules = rest
-        rules = self.rules[rules[0]] if rules and rules[0] is not None else None
+        rules = self.known_terms[rules[0]] if rules and rules[0] is not None else None
         maybe_at = inf if maybe_at is None else maybe_at
         owed = Owed(name, due, dest, topic, customer, order_key, key, body, rules, pushes, maybe_at)
         self.owed[name] = owed
@@ -53,19 +53,19 @@
         self.adopted.add(FileIdentity(name, int(size), int(checksum)))
 
     def on_rules(self, _: str, rest: list, __: bytes) -> None:
-        terms_of("", rest[0])  # raises if the terms cannot be decoded
-        self.rules.append(rest[0])
+        decode_terms("", rest[0])  # raises if the terms cannot be decoded
+        self.known_terms.append(rest[0])
 
     def on_push(self, name: str, rest: list, _: bytes) -> None:
         owed = self.owed[name]
-        owed.open[rest[0]] = rest[1]
+        owed.open_pushes[rest[0]] = rest[1]
         owed.pushes += 1
 
     def on_outcome(self, name: str, rest: list, _: bytes) -> None:
         owed = self.owed[name]
-        sent = owed.open.pop(rest[0], inf)
+        sent = owed.open_pushes.pop(rest[0], inf)
         if not rest[1]:
-            owed.maybe_at = min(owed.maybe_at, sent)
+            owed.may_have_run_at = min(owed.may_have_run_at, sent)
 
     def on_notice(self, name: str, rest: list, _: bytes) -> None:
         owed = self.owed[name]
@@ -73,7 +73,7 @@
         self.resize(owed, 2 * HISTORY_BYTES)
 
     def on_alone(self, name: str, rest: list, _: bytes) -> None:
-        self.owed[name].alone = True
+        self.owed[name].unreplicated = True
 
     def on_over(self, name: str, rest: list, _: bytes) -> None:
         self.foreign_ids.discard(name)
--- a/ryestack/store/remembered.py
+++ b/ryestack/store/remembered.py
@@ -15,8 +15,8 @@
 
 NAME, FAILING = "learnt", "failing"
 # Bytes of the folder's allowance that each may take, with the replacement beside the old file.
-MOST_OF = {NAME: 256 * 1024, FAILING: 64 * 1024}
-MOST = sum(MOST_OF.values())
+MAX_FILE_BYTES = {NAME: 256 * 1024, FAILING: 64 * 1024}
+MAX_TOTAL_BYTES = sum(MAX_FILE_BYTES.values())
 OVERHEAD_BYTES, ROW_OVERHEAD_BYTES = 256, 32  # of the file without its rows, of a row without its name
 MAX_AGE_S = 60.0  # older state is ignored: an outage is remembered for one minute at most
 
@@ -53,7 +53,7 @@
 
 def save_failing(folder: str, failing: dict[str, float], now: Moment) -> None:
     """Save the failing routes, the latest ones if not all fit: older outages are in the learnt state too."""
-    remaining_bytes, kept = MOST_OF[FAILING] // 2 - OVERHEAD_BYTES, {}
+    remaining_bytes, kept = MAX_FILE_BYTES[FAILING] // 2 - OVERHEAD_BYTES, {}
     for name, began in sorted(failing.items(), key=lambda row: row[1], reverse=True):
         remaining_bytes -= len(name) + ROW_OVERHEAD_BYTES
         if remaining_bytes < 0:
@@ -79,7 +79,7 @@
     text = json.dumps(table, separators=(",", ":")).encode()
     data = b"%08x\n" % zlib.crc32(text) + text
     replacement = Path(folder) / f"{name}.new"
-    if len(data) > MOST_OF[name] // 2:
+    if len(data) > MAX_FILE_BYTES[name] // 2:
         return
     try:
         replacement.write_bytes(data)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -35,7 +35,7 @@
         old.take(owed("o"))
         old.journal.close()
         self.assertEqual([o.id for o in new.adopt()], ["n", "o"])
-        self.assertEqual((new.owed["n"].pushes, new.owed["n"].first_maybe()), (1, 41.0))
+        self.assertEqual((new.owed["n"].pushes, new.owed["n"].first_may_have_run_at()), (1, 41.0))
         self.assertEqual(new.journal.other_files(), [])
         new.journal.close()
         self.assertEqual(sorted(self.process().owed), ["m", "n", "o"])
@@ -90,7 +90,7 @@
         data[at + 20] ^= 1
         path.rename(Path(self.folder, "owed.3"))
         Path(self.folder, "owed.3").write_bytes(data)
-        self.assertEqual(self.process().owed["n"].first_maybe(), 0.0)
+        self.assertEqual(self.process().owed["n"].first_may_have_run_at(), 0.0)
 
 
 class Told(unittest.TestCase):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -188,7 +188,7 @@
         gone.journal.close()
         [found] = ours.adopt()
         shift = ours.timeline.offset - gone.timeline.offset
-        self.assertEqual((shift, found.due, found.open), (3_600.0, 3_650.0, {0: 3_641.0}))
+        self.assertEqual((shift, found.due, found.open_pushes), (3_600.0, 3_650.0, {0: 3_641.0}))
         ours.journal.close()
         self.assertEqual(self.again().owed["n"].due, 3_650.0)
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from ryestack.lab.trial import free_port
-from ryestack.lifecycle.config import BadConfig, Mixed, load
+from ryestack.lifecycle.config import BadConfig, MixedDeployment, load
 from ryestack.lifecycle.relay import PHASES, Relay
 from ryestack.store.journal import Journal
 from ryestack.store.ledger import Ledger
@@ -196,12 +196,12 @@
         )
         for change, key in mixed:
             path = config(self.folder, "127.0.0.1:1", change=change)
-            with self.assertRaisesRegex(Mixed, key) as caught:
+            with self.assertRaisesRegex(MixedDeployment, key) as caught:
                 load({"LB_CONFIG": path, "LB_STATE": self.folder})
             self.assertNotIn("\n", str(caught.exception))
         path = config(self.folder, "127.0.0.1:1", change={"discovery": "ask"})
         self.assertTrue(load({"LB_CONFIG": path, "LB_STATE": self.folder}).settings.asks_for_list)
-        with self.assertRaisesRegex(Mixed, "directory.source"):
+        with self.assertRaisesRegex(MixedDeployment, "directory.source"):
             load({"LB_CONFIG": path, "LB_STATE": self.folder}, flags={"directory.source": "fixed"})
 
     def test_a_number_that_cannot_be_one_is_named(self):
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -198,7 +198,8 @@
             self.assertLessEqual(promised - ending, found, f"killed at change {at}")
             self.assertLessEqual(found, begun - over, f"killed at change {at}")
             for one in found:
-                self.assertIn((last.owed[one].pushes, last.owed[one].first_maybe()), ((0, inf), (1, 40.0)))
+                history = last.owed[one].pushes, last.owed[one].first_may_have_run_at()
+                self.assertIn(history, ((0, inf), (1, 40.0)))
             self.assertEqual(len(os.listdir(self.folder)), 1)
             self.assertEqual(last.live_bytes, sum(o.size for o in last.owed.values()))
         self.assertGreater(at, 15)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -81,7 +81,7 @@
         read = Ledger(Journal(self.folder, 100_000))
         read.recover()
         read.journal.close()
-        self.assertEqual((read.owed["n"].due, read.owed["n"].open), (1030.0, {0: 1010.0}))
+        self.assertEqual((read.owed["n"].due, read.owed["n"].open_pushes), (1030.0, {0: 1010.0}))
 
     async def test_what_its_client_would_not_hear_of_any_more_is_turned_away_unseen(self):
         o, late, soon = self.owner(), self.hand_in("late"), self.hand_in("soon")
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -38,7 +38,7 @@
         shard.contents.apply([record_codec.ended(ended, 0, True)])
         g.on_acts(shard)
         at_once = list(adopted)
-        assert g.owner.ledger.owed["out"].open and g.owner.ledger.owed["out"].pushes == 1
+        assert g.owner.ledger.owed["out"].open_pushes and g.owner.ledger.owed["out"].pushes == 1
         await asyncio.sleep(0.2)
         before = list(adopted)
         await asyncio.sleep(0.2)
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -57,7 +57,7 @@
 
 
 def test_what_is_too_large_or_has_no_folder_is_not_kept(tmp_path):
-    remembered.save(str(tmp_path), {"x": "y" * remembered.MOST}, "s", NOW)
+    remembered.save(str(tmp_path), {"x": "y" * remembered.MAX_TOTAL_BYTES}, "s", NOW)
     remembered.save(str(tmp_path / "none"), {}, "s", NOW)
     assert not list(tmp_path.iterdir())
 
@@ -67,7 +67,7 @@
     remembered.save_failing(str(tmp_path), failing, NOW)
     size = (tmp_path / remembered.FAILING).stat().st_size
     found = remembered.load(str(tmp_path), "s", SOON).failing
-    assert size <= remembered.MOST_OF[remembered.FAILING] // 2
+    assert size <= remembered.MAX_FILE_BYTES[remembered.FAILING] // 2
     assert 500 < len(found) < 5000 and min(found.values()) > max(
         at for name, at in failing.items() if name not in found
     )
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -106,7 +106,7 @@
         self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
         made.ledger.rewrite()
         made.ledger.journal.close()
-        again = self.owner().ledger.owed["m"].rules
+        again = self.owner().ledger.owed["m"].terms
         self.assertEqual(again, ["collapsible", 2.0, 20.0, 1.0, 0.0, "all", 6.0, False, 6])
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -39,7 +39,7 @@
         first.take(owed("n"))
         first.push("n", 0, 41.0)
         back = self.ledger().owed["n"]
-        self.assertEqual((back.pushes, back.first_maybe()), (1, 41.0))
+        self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, 41.0))
 
     def test_a_push_that_never_ran_leaves_no_doubt_and_counts(self):
         first = self.ledger()
@@ -47,7 +47,7 @@
         first.push("n", 0, 41.0)
         first.outcome("n", 0, True)
         back = self.ledger().owed["n"]
-        self.assertEqual((back.pushes, back.first_maybe()), (1, float("inf")))
+        self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, float("inf")))
 
     def test_a_torn_tail_is_dropped_and_the_file_goes_on(self):
         first = self.ledger()
@@ -112,10 +112,10 @@
         first.journal.rewrite([p for one in first.owed.values() for p in first.records_of(one)])
         back = self.ledger()
         self.assertEqual(list(back.owed), ["n", "m", "o"])
-        self.assertEqual([o.first_maybe() for o in back.owed.values()][:2], [41.0, float("inf")])
+        self.assertEqual([o.first_may_have_run_at() for o in back.owed.values()][:2], [41.0, float("inf")])
         self.assertEqual((back.owed["o"].notice, back.owed["o"].body), ({"state": "failed"}, b""))
         back.outcome("n", 0, True)  # the push that was out at the rewrite turns out not to have run
-        self.assertEqual(self.ledger().owed["n"].first_maybe(), float("inf"))
+        self.assertEqual(self.ledger().owed["n"].first_may_have_run_at(), float("inf"))
 
     def test_nearly_full_has_no_room(self):
         kept, taken = self.ledger(60_000), 0
@@ -181,7 +181,8 @@
     def test_within_the_file_puts_what_came_before_in_doubt_for_all_lives_to_come(self):
         self.damaged()
         for _ in range(2):
-            self.assertEqual({n: o.first_maybe() for n, o in self.ledger().owed.items()}, {"n": 0.0})
+            found = {name: owed.first_may_have_run_at() for name, owed in self.ledger().owed.items()}
+            self.assertEqual(found, {"n": 0.0})
 
     def test_a_kill_or_a_full_disk_before_it_is_written_anew_finds_the_damage_again(self):
         self.damaged()
@@ -193,7 +194,7 @@
         blocked.recover()
         self.assertEqual((blocked.in_sync, blocked.take(owed("o"))), (False, False))
         blocked.journal.close()
-        self.assertEqual(self.ledger().owed["n"].first_maybe(), 0.0)
+        self.assertEqual(self.ledger().owed["n"].first_may_have_run_at(), 0.0)
 
     def no_room(self, _):
         raise OSError("no space left")
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -61,7 +61,7 @@
             kept = Ledger(Journal(self.folder, 3_000_000))
             kept.recover()
             kept.journal.close()
-            found = {o.id: (o.pushes, o.open) for o in kept.owed.values()}
+            found = {o.id: (o.pushes, o.open_pushes) for o in kept.owed.values()}
             self.assertEqual(found, {"n": (1, {}), "m": (0, {})})
 
 
