--- a/ryestack/__main__.py
+++ b/ryestack/__main__.py
@@ -1,14 +1,15 @@
-"""python -m ryestack: one live relay, from LB_CONFIG and LB_STATE until SIGTERM.
+"""python -m ryestack: runs one relay, configured by LB_CONFIG and LB_STATE, until SIGTERM.
 
-With arguments it is the command line, which is loaded then only: what runs a relay stays lean.
+With arguments it runs the command line, which is only imported then, so that a relay's process stays small.
 """
 
 import sys
 
-STOPPED = 130  # by Ctrl-C before there was anything to wind up
+INTERRUPTED_STATUS = 130  # Ctrl-C before a relay was running
 
 
 def main() -> int:
+    """Returns the exit status."""
     try:
         if sys.argv[1:]:
             from .cli import main as run
@@ -16,7 +17,7 @@
             from .lifecycle.service import serve as run
         return run()
     except KeyboardInterrupt:
-        return STOPPED
+        return INTERRUPTED_STATUS
 
 
 if __name__ == "__main__":
--- a/ryestack/lifecycle/__init__.py
+++ b/ryestack/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start to exit: the phases of a relay and the one task that owns its decisions."""
+"""The lifecycle of a relay process: its phases from start to exit, and the task that owns its decisions."""
--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -1,4 +1,4 @@
-"""What staff ask of a relay at its second address, and a drain that they began."""
+"""The operators' endpoints at a relay's second address: readiness, metrics, drain and resume."""
 
 import asyncio
 from collections import Counter
@@ -7,19 +7,24 @@
 from ..observe import figures
 from ..ports import Closed
 from .admission import Refusal
-from .phases import ACCEPT, PHASES, READY, REFUSED
+from .phases import ACCEPT_AFTER_STOP_S, PHASES, READY, REFUSED_IN
 from .pushing import Unsent
 
 TEXT = "text/plain; charset=utf-8"
 
 
 class Admin:
-    """The part of a relay that answers staff."""
+    """The part of a relay that answers operators' requests.
+
+    A handler returns the status, the content type and the body.
+    """
 
     async def ready(self) -> tuple[int, str, str]:
+        """Whether this process can serve."""
         return (200, TEXT, "ready\n") if self.phase in READY else (503, TEXT, f"not ready: {self.phase}\n")
 
     async def metrics(self) -> tuple[int, str, str]:
+        """The metrics in the Prometheus text format."""
         parts, owner = self.parts, self.owner
         listed = parts.directory.members.listed()
         values = {
@@ -33,10 +38,10 @@
         if parts.control:
             values |= parts.control.figures()
         topics = [topic.name for topic in owner.settings.topic_types]
-        return 200, figures.TYPE, figures.text(owner.ended, topics, values, self.labelled())
+        return 200, figures.TYPE, figures.text(owner.ended, topics, values, self.labelled_counts())
 
-    def labelled(self) -> dict[str, dict[str, int]]:
-        """Counts with a reason each, also of those that have not been seen yet."""
+    def labelled_counts(self) -> dict[str, dict[str, int]]:
+        """The counters that have a label, with a zero for each label value not seen yet."""
         owner = self.owner
         closed = sum((listener.closed for listener in self.parts.listeners), Counter())
         return {
@@ -47,30 +52,37 @@
             "client_connections_closed_total": {why.value: closed[why] for why in Closed},
         }
 
-    async def asked(self, what: str) -> tuple[int, str, str]:
-        if self.phase in REFUSED[what]:
+    async def request_transition(self, trigger: str) -> tuple[int, str, str]:
+        """Drain or resume, by the trigger's name in PHASES."""
+        if self.phase in REFUSED_IN[trigger]:
             return 409, TEXT, f"it is {self.phase}\n"
-        if (self.phase, what) in PHASES:
-            await self.happen(what)
+        if (self.phase, trigger) in PHASES:
+            await self.happen(trigger)
         return 200, TEXT, f"{self.phase}\n"
 
-    async def send_away(self) -> None:
+    async def begin_drain(self) -> None:
+        """Effect: ask clients to leave, for ACCEPT_AFTER_STOP_S seconds."""
         for listener in self.parts.listeners:
             listener.leave()
         loop = asyncio.get_running_loop()
-        self.sending_away = loop.call_later(ACCEPT, lambda: loop.create_task(self.sent_away()))
+        self.drain_timer = loop.call_later(
+            ACCEPT_AFTER_STOP_S, lambda: loop.create_task(self.finish_drain_period())
+        )
 
-    async def sent_away(self) -> None:
+    async def finish_drain_period(self) -> None:
+        """End the drain period, unless a resume came first."""
         if self.phase == "emptying":
             await self.happen("sent away long enough")
 
-    async def end_idle(self) -> None:
+    async def close_idle_connections(self) -> None:
+        """Effect: accept no more notifications and close the clients' idle connections."""
         self.owner.emptied = True
         for listener in self.parts.listeners:
             listener.empty()
 
     async def resume(self) -> None:
-        self.sending_away.cancel()
+        """Effect: serve clients again."""
+        self.drain_timer.cancel()
         self.owner.emptied = False
         for listener in self.parts.listeners:
             listener.resume()
--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -1,4 +1,4 @@
-"""What becomes of a hand-in: taken on once it is written, or refused, and why."""
+"""Admission of hand-ins: accepted once they are in the journal, or refused with a reason."""
 
 from collections import Counter
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class Refusal(Enum):
-    """Why a hand-in was not taken on; the words are those of the counter and of the log."""
+    """Why a hand-in was refused; the values appear in the metrics and in the log."""
 
     ID_IN_USE = "its id is in use"
     NO_REPLICAS = "too few replicas"
@@ -23,71 +23,86 @@
 
 
 class Admission:
-    """The part of the owner that takes notifications on. refused: hand-ins that were not, by why."""
+    """The part of the owner that accepts notifications. refused: number of refused hand-ins by reason."""
 
     def __init__(self):
         super().__init__()
         self.refused: Counter[Refusal] = Counter()
 
-    def before_hand_in(self, message: HandIn):
-        away = self.replication.turned_away()
-        if why := self.refusal(message, away):
-            self.turn_away(message, why, away or 0.0)
+    def handle_hand_in(self, message: HandIn):
+        """Refuse a hand-in, or return its notification for the decision module."""
+        retry_after = self.replication.retry_after()
+        if reason := self.refusal(message, retry_after):
+            self.reject(message, reason, retry_after or 0.0)
             return None
         self.fresh[message.ntf.id] = message
         return message.ntf
 
-    def refusal(self, message: HandIn, away: float | None) -> Refusal | None:
-        """Why it is refused before the decisions hear of it. away: seconds, where there are no replicas."""
+    def refusal(self, message: HandIn, retry_after: float | None) -> Refusal | None:
+        """Why it is refused before the decision module sees it, if it is.
+
+        retry_after: seconds, where there are too few replicas; else None.
+        """
         name = message.ntf.id
         if name in self.ledger.owed or name in self.fresh:
             return Refusal.ID_IN_USE
-        if away is not None:
+        if retry_after is not None:
             return Refusal.NO_REPLICAS
         if self.emptied:
             return Refusal.DRAINED
-        if self.held_by_all() >= self.settings.max_open:
+        if self.held_by_all_processes() >= self.settings.max_open:
             return Refusal.HOLD_FULL
         if not self.ledger.has_room(message.body):
             return Refusal.JOURNAL_FULL
         return Refusal.TOO_LATE if self.clock() > message.answer_by else None
 
     def held(self) -> int:
+        """The number of open notifications of this process."""
         return len(self.ledger.owed) + len(self.fresh)
 
-    def held_by_all(self) -> int:
-        return self.held() + sum(self.held_by.values())
+    def held_by_all_processes(self) -> int:
+        """The number of open notifications of all processes of this relay."""
+        return self.held() + sum(self.held_by_sibling.values())
 
     def take(self, message: HandIn) -> None:
-        n = message.ntf
-        due = n.due + self.wall
-        rules = encode_terms(n.terms, n.most) if n.terms else None
-        head = n.id, due, n.destination, n.topic_type, n.customer, n.key, message.key
-        owed = Owed(*head, message.body, rules)
+        """Write an accepted notification to the journal and answer its client."""
+        notification = message.ntf
+        due = notification.due + self.wall
+        terms = encode_terms(notification.terms, notification.most) if notification.terms else None
+        head = (
+            notification.id,
+            due,
+            notification.destination,
+            notification.topic_type,
+            notification.customer,
+            notification.key,
+            message.key,
+        )
+        owed = Owed(*head, message.body, terms)
         if self.ledger.take(owed):
             self.counts["taken"] += 1
-            self.told_taken(owed)
-            self.ledger.owed[n.id].heard = message.heard
-            self.replication.took(owed, message)
+            self.log_taken(owed)
+            self.ledger.owed[notification.id].heard = message.heard
+            self.replication.hand_in_accepted(owed, message)
         else:
-            self.turn_away(message, Refusal.JOURNAL_FAILS)
-            self.put([interface.Withdrawn(n.id)])
+            self.reject(message, Refusal.JOURNAL_FAILS)
+            self.put([interface.Withdrawn(notification.id)])
 
-    def told_taken(self, o: Owed) -> None:
+    def log_taken(self, owed: Owed) -> None:
         if detailed():
-            event("ntf.taken", id=o.id, destination=o.destination, topic=o.topic, pushes=o.pushes)
+            event("ntf.taken", id=owed.id, destination=owed.destination, topic=owed.topic, pushes=owed.pushes)
 
-    def turn_away(self, message: HandIn, why: Refusal, away: float = 0.0) -> None:
-        """Not by a decision. away: seconds to stay away, 0 if none is told."""
-        self.count_refusal(message, why)
-        if why is Refusal.ID_IN_USE:
+    def reject(self, message: HandIn, reason: Refusal, retry_after: float = 0.0) -> None:
+        """Refuse without a decision of the module. retry_after: seconds, 0 if none is given."""
+        self.count_refusal(message, reason)
+        if reason is Refusal.ID_IN_USE:
             message.verdict.set_result((Verdict.UNREADABLE, 0.0))
             return
         self.counts["turned away"] += 1
         self.ended[message.ntf.topic_type, "throttled"] += 1
-        message.verdict.set_result((Verdict.THROTTLED, away))
+        message.verdict.set_result((Verdict.THROTTLED, retry_after))
 
-    def count_refusal(self, message: HandIn, why: Refusal) -> None:
-        self.refused[why] += 1
+    def count_refusal(self, message: HandIn, reason: Refusal) -> None:
+        self.refused[reason] += 1
         if detailed():
-            event("request.refused", id=message.ntf.id, why=why.value)
+            event("request.refused", id=message.ntf.id, why=reason.value)
--- a/ryestack/lifecycle/assembly.py
+++ b/ryestack/lifecycle/assembly.py
@@ -1,4 +1,4 @@
-"""Puts a relay together: the ports that the configuration and the operator file name, round one owner."""
+"""Builds a relay: the owner, and the adapters that the configuration and the operator file select."""
 
 from dataclasses import dataclass
 
@@ -16,15 +16,19 @@
 from .owner import Owner
 from .terms import Terms
 
-OWN_SOCKETS = 32  # for the journal, the watch, notices, the log, what opens while others close
-CLIENTS_PART = 0.28  # of all: the listener opens a third at most, and no more while idle ones fill that
-SCOPE_PART = 8  # one in so many of the folder's bytes is for what control machines told
-FEWEST = 8  # connections a side, however few descriptors there are
+RESERVED_SOCKETS = 32  # for the journal, the registry watch, notices, the log, and overlapping connections
+# Of all descriptors: the listener opens a third at most, and no more while idle connections fill that.
+CLIENT_SOCKET_SHARE = 0.28
+SCOPE_DISK_DIVISOR = 8  # this part of the folder's bytes is for the scope from the control machines
+MIN_CONNECTIONS = 8  # per side, however few descriptors there are
 DIRECTORIES = {"catalog": Catalog, "fixed": Fixed}
 
 
 @dataclass(slots=True)
 class Parts:
+    """The components of one relay. peering: None unless the operator file has peers; control: the directory
+    if the operator file names control machines, else None."""
+
     ledger: Ledger
     owner: Owner
     platform: Platform
@@ -33,21 +37,22 @@
     notices: NoticeSink
     listeners: list[Listener]
     terms: Terms
-    peering: object = None  # where an operator file has peers
-    control: object = None  # where it has control machines: the directory, then
+    peering: object = None
+    control: object = None
 
 
 def assemble(config: Config, clock, wall: float) -> Parts:
-    """clock: seconds, of the loop; wall: added to it, it gives the wall's time."""
+    """Build a relay. clock: returns the event loop's time in seconds; wall: the offset that converts it to
+    wall-clock time."""
     settings, operator = config.settings, config.operator
     scoped = bool(operator.control.cluster)
-    scope_bytes = config.disk // SCOPE_PART if scoped else 0
+    scope_bytes = config.disk // SCOPE_DISK_DIVISOR if scoped else 0
     journal_bytes = max(config.disk // 2, config.disk - remembered.MAX_TOTAL_BYTES - scope_bytes)
     ledger = Ledger(Journal(config.state, journal_bytes))
     owner = Owner(settings, config.seed, ledger, clock, wall)
     platform = Platform(config.discovery)
     if scoped:
-        from .scope.directory import ScopeDirectory  # most relays have none
+        from .scope.directory import ScopeDirectory  # imported only where it is used: most relays have none
 
         directory = ScopeDirectory(
             operator.control, config.name, owner, config.state, scope_bytes, config.seed
@@ -55,21 +60,21 @@
     else:
         directory = DIRECTORIES[operator.directory.source](platform, config.known)
     owner.directory = directory
-    most = max(FEWEST, int(config.sockets * CLIENTS_PART))
-    left = max(FEWEST, config.sockets - most - OWN_SOCKETS)
+    max_clients = max(MIN_CONNECTIONS, int(config.sockets * CLIENT_SOCKET_SHARE))
+    max_endpoint_connections = max(MIN_CONNECTIONS, config.sockets - max_clients - RESERVED_SOCKETS)
     members = directory.members
-    owner.dispatcher = Calls(settings, members, clock, owner.put, left)
+    owner.dispatcher = Calls(settings, members, clock, owner.put, max_endpoint_connections)
     if operator.ends.sink == "file":
-        owner.notices = FileNotices(operator.ends.path, owner.told_platform)
+        owner.notices = FileNotices(operator.ends.path, owner.notices_delivered)
     else:
-        owner.notices = Notices(platform, owner.told_platform)
-    at = (config.host, config.port)
+        owner.notices = Notices(platform, owner.notices_delivered)
+    address = (config.host, config.port)
     terms = Terms(settings)
-    listener = Clients(settings, terms, members, clock, owner.hand_in, owner.withdraw, most, at)
+    listener = Clients(settings, terms, members, clock, owner.hand_in, owner.withdraw, max_clients, address)
     listener.server.unanswered = owner.unanswered
     peering = None
     if operator.peers.cluster:
-        from .replication.peering import Peering  # most relays have none
+        from .replication.peering import Peering  # imported only where it is used: most relays have none
 
         peering = Peering(operator.peers, config.name, owner, config.state, config.seed)
     control = directory if scoped else None
--- a/ryestack/lifecycle/config.py
+++ b/ryestack/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""What a live relay is told: the file that LB_CONFIG names, and the folder LB_STATE."""
+"""The configuration of a relay: the file that LB_CONFIG names, and the folder LB_STATE."""
 
 import json
 import os
@@ -11,19 +11,22 @@
 
 
 class BadConfig(Exception):
-    """A configuration that cannot be used; the text says what is wrong in one line."""
+    """An unusable configuration; the text has one line for each fault."""
 
 
 class MixedDeployment(BadConfig):
-    """It mixes two shapes of deployment: it cannot be used as it stands."""
+    """A configuration that mixes the options of two deployment shapes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A relay's configuration as parsed. The event config.later names these fields, so they keep their
+    names."""
+
     name: str
     host: str
     port: int
-    ops: tuple[str, int] | None  # the second address, for staff
+    ops: tuple[str, int] | None  # the second address, for operators
     discovery: str
     state: str
     seed: int
@@ -32,7 +35,7 @@
     known: dict
     settings: interface.Settings
     operator: Operator
-    told: dict  # the file as it came, less the list
+    document: dict  # the parsed file, without the endpoint list
 
 
 def load(
@@ -42,28 +45,31 @@
     chosen: Operator | None = None,
     before: Config | None = None,
 ) -> Config:
-    """The platform's configuration and the operator's choices beside it; raises BadConfig, a line a fault.
+    """Load the platform's configuration and the operator's choices; raises BadConfig, one line per fault.
 
-    operator: the operator file; flags: dotted key to text; chosen: choices that stand already; before: what
-    holds: its choices stand, and no key that it was told may be missing now.
+    operator: the path of the operator file; flags: dotted key to text; chosen: choices loaded already;
+    before: the configuration in force, whose choices are kept, and of whose keys none may be missing now.
     """
     chosen = before.operator if before else chosen or choose(environ, operator, flags)
     path, state = environ.get("LB_CONFIG"), environ.get("LB_STATE")
     if not path or not state:
-        raise BadConfig("LB_CONFIG must name the configuration, LB_STATE a folder that lasts")
+        raise BadConfig(
+            f"LB_CONFIG is {path or 'not set'}, must name the configuration file; "
+            f"LB_STATE is {state or 'not set'}, must name a persistent folder"
+        )
     if not os.path.isdir(state):
-        raise BadConfig(f"LB_STATE: {state} is no folder")
+        raise BadConfig(f"LB_STATE: {state} is not a folder")
     try:
         with open(path, "rb") as file:
-            told = json.load(file)
+            document = json.load(file)
     except OSError as problem:
         raise BadConfig(f"{path}: {problem.strerror}") from None
     except (ValueError, RecursionError) as problem:
         raise BadConfig(f"{path}: not JSON: {problem}") from None
-    if before and (key := lacking(told, before.told)):
-        raise BadConfig(f"{path}: {key} is missing")
+    if before and (key := lacking(document, before.document)):
+        raise BadConfig(f"{path}: {key} is missing, the configuration in force has it")
     try:
-        return read(told, state, chosen, environ.get("LB_OPS"))
+        return read(document, state, chosen, environ.get("LB_OPS"))
     except MixedShapes as problem:
         raise MixedDeployment(f"{path}: {problem}") from None
     except (BadSettings, BadList) as problem:
@@ -75,7 +81,7 @@
 def choose(environ, operator: str | None, flags: dict | None) -> Operator:
     """The operator's choices; raises BadConfig.
 
-    Most relays choose nothing: what reads and checks choices is loaded where there are some.
+    The code that reads and checks them is imported only if there are some: most relays have none.
     """
     if not operator and not flags and not any(name.startswith("RYESTACK_") for name in environ):
         return Operator()
@@ -87,23 +93,23 @@
         raise BadConfig(str(bad)) from None
 
 
-def _peers(chosen: Operator, told: dict, settings: interface.Settings) -> str:
-    """What is wrong with the peers for this very relay, "" if nothing."""
+def _check_peers(chosen: Operator, document: dict, settings: interface.Settings) -> str:
+    """What is wrong with the peers for this relay, "" if nothing."""
     peers = chosen.peers
     if not peers.cluster:
         return ""
-    if (peers.name or told.get("name")) not in [relay.name for relay in peers.relays]:
-        return f"peers.relays does not name this relay, {peers.name or told.get('name')}"
+    if (peers.name or document.get("name")) not in [relay.name for relay in peers.relays]:
+        return f"peers.relays does not name this relay, {peers.name or document.get('name')}"
     if peers.lease < 2.0 * settings.connect_timeout:
         return f"peers.lease is {peers.lease:g} s, must be twice allowed.connectTimeoutMs at least"
     return ""
 
 
-def _settings(options: dict, told: dict, chosen: Operator) -> interface.Settings:
+def _settings(options: dict, document: dict, chosen: Operator) -> interface.Settings:
     settings = read_settings(options)
     check_shape(options)
-    if peers_wrong := _peers(chosen, told, settings):
-        raise BadConfig(peers_wrong)
+    if peers_fault := _check_peers(chosen, document, settings):
+        raise BadConfig(peers_fault)
     if settings.asks_for_list and chosen.directory.source == "fixed":
         raise MixedShapes("options.discovery is ask, but directory.source is fixed: nothing would be asked")
     return settings
@@ -112,7 +118,7 @@
 def settings_of(options: dict, config: Config) -> interface.Settings:
     """Settings from their JSON object, for a relay of that configuration; raises BadConfig."""
     try:
-        return _settings(options, config.told, config.operator)
+        return _settings(options, config.document, config.operator)
     except MixedShapes as problem:
         raise MixedDeployment(str(problem)) from None
     except BadSettings as problem:
@@ -121,8 +127,9 @@
         raise BadConfig(f"a value of the wrong kind: {problem}") from None
 
 
-def read(told: dict, state: str, chosen: Operator, ops: str | None = None) -> Config:
-    """ops: of this process alone, where two of them read one file; else the file tells it."""
+def read(document: dict, state: str, chosen: Operator, ops: str | None = None) -> Config:
+    """The configuration of a parsed file. ops: the second address of this process, in place of the file's,
+    for two processes that read one file."""
 
     def need(table, key, kind):
         value = table.get(key) if isinstance(table, dict) else None
@@ -130,27 +137,28 @@
             raise BadConfig(f"{key} is missing or has the wrong type")
         return value
 
-    def address(key, said=None):
-        host, _, port = (need(told, key, str) if said is None else said).rpartition(":")
+    def address(key, text=None):
+        text = need(document, key, str) if text is None else text
+        host, _, port = text.rpartition(":")
         if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
-            raise BadConfig(f"{key} must be address:port")
+            raise BadConfig(f"{key} is {text!r}, must be address:port with a port of 65535 at most")
         return host, int(port)
 
     (host, port), _ = address("listen"), address("discovery")
-    staff = address("ops", ops or None) if ops or told.get("ops") is not None else None
-    limits, known = need(told, "limits", dict), need(told, "known", dict)
+    ops_address = address("ops", ops or None) if ops or document.get("ops") is not None else None
+    limits, known = need(document, "limits", dict), need(document, "known", dict)
     read_list(known, {})
     try:
-        seed = int(str(told.get("seed", "")), 16)
+        seed = int(str(document.get("seed", "")), 16)
     except ValueError:
-        raise BadConfig("seed must be hex digits") from None
-    settings = _settings(need(told, "settings", dict), told, chosen)
+        raise BadConfig(f"seed is {document.get('seed')!r}, must be hex digits") from None
+    settings = _settings(need(document, "settings", dict), document, chosen)
     return Config(
-        name=need(told, "name", str),
+        name=need(document, "name", str),
         host=host,
         port=port,
-        ops=staff,
-        discovery=need(told, "discovery", str),
+        ops=ops_address,
+        discovery=need(document, "discovery", str),
         state=state,
         seed=seed,
         sockets=need(limits, "sockets", int),
@@ -158,5 +166,5 @@
         known=known,
         settings=settings,
         operator=chosen,
-        told={**told, "known": {}},
+        document={**document, "known": {}},
     )
--- a/ryestack/lifecycle/control_machine.py
+++ b/ryestack/lifecycle/control_machine.py
@@ -1,4 +1,4 @@
-"""A control machine as a process: from the operator file and LB_STATE until SIGTERM."""
+"""The process of a control machine, configured by the operator file and LB_STATE, until SIGTERM."""
 
 import asyncio
 import os
@@ -15,11 +15,11 @@
 
 
 def serve(chosen: Operator, environ=os.environ) -> int:
-    """Returns the exit status: 0 told to stop, 1 a fault, 2 it could not be used as it was started."""
+    """Run until a stop signal. Returns the exit status: 0 stopped, 1 a fault, 2 unusable configuration."""
     control, folder = chosen.control, environ.get("LB_STATE", "")
     log.setup(control.name, chosen.log.format, chosen.log.level, chosen.log.repeat)
     if not os.path.isdir(folder):
-        return _refuse(f"LB_STATE: {folder or 'is not set, must name a folder that lasts'}")
+        return _refuse(f"LB_STATE is {folder or 'not set'}, must name an existing, persistent folder")
     try:
         asyncio.run(_run(control, Path(folder)))
     except (BadStorage, _AddressInUse) as bad:
@@ -34,7 +34,7 @@
 
 
 class _AddressInUse(Exception):
-    """The machine's address can't be listened at."""
+    """The machine cannot listen at its address."""
 
 
 def _refuse(reason: str) -> int:
@@ -44,8 +44,8 @@
 
 async def _run(control: Control, folder: Path) -> None:
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     machine = _make(control, folder)
     try:
         try:
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -1,4 +1,4 @@
-"""Final answers: told at once to a client that waits, else as notices, once they are written down."""
+"""Final answers: sent at once to a client that waits, else as notices once they are in the journal."""
 
 import asyncio
 
@@ -7,12 +7,15 @@
 from ..ports import Verdict
 from .admission import Refusal
 
-RETRY = 0.1  # seconds between tries to write down an end
+WRITE_RETRY_S = 0.1  # between attempts to write final answers to the journal
 
 
 class Ending:
-    """The part of the owner that ends notifications. unwritten: those whose end the journal could not take: a
-    next life would not know of it and go on, so that it is not told before their time is up."""
+    """The part of the owner that ends notifications.
+
+    unwritten: ids whose final answer could not be written to the journal. The next process would not know of
+    the answer and continue, so the answer is not sent until it is written or the deadline has passed.
+    """
 
     def __init__(self):
         super().__init__()
@@ -20,46 +23,47 @@
         self.retry: asyncio.TimerHandle | None = None
 
     def end(self, action: interface.Throttle | interface.Expire) -> None:
-        """An end at once answers the client; later it is a notice to the platform."""
+        """Answer the client if it still waits for the hand-in; otherwise send a notice to the platform."""
         throttled = isinstance(action, interface.Throttle)
-        away = action.come_back if throttled else 0.0
-        how = "throttled" if throttled else "expired"
-        self.counts[how] += 1
+        retry_after = action.come_back if throttled else 0.0
+        result = "throttled" if throttled else "expired"
+        self.counts[result] += 1
         if detailed():
-            event("ntf.ended", id=action.id, how=how, after=round(away, 3))
+            event("ntf.ended", id=action.id, how=result, after=round(retry_after, 3))
         message = self.fresh.pop(action.id, None)
         if message:
-            self.ended[message.ntf.topic_type, how] += 1
+            self.ended[message.ntf.topic_type, result] += 1
             self.count_refusal(message, Refusal.DECIDED)
-            message.verdict.set_result((Verdict.THROTTLED if throttled else Verdict.EXPIRED, away))
+            message.verdict.set_result((Verdict.THROTTLED if throttled else Verdict.EXPIRED, retry_after))
         elif owed := self.ledger.owed.get(action.id):
             if rule := self.invariants.check_end(owed):
-                self.violated(rule, action.id)
+                self.report_violation(rule, action.id)
                 return
-            self.ended[owed.topic, how] += 1
+            self.ended[owed.topic, result] += 1
             notice = {"state": "returned" if throttled else "failed"}
-            if away > 0.0:
-                notice["after_ms"] = round(away * 1000.0)
+            if retry_after > 0.0:
+                notice["after_ms"] = round(retry_after * 1000.0)
             if self.ledger.owe_notice(action.id, notice):
-                self.replication.told(owed, notice, self.notices.add)
+                self.replication.notice_owed(owed, notice, self.notices.add)
             else:
-                self.hold_back(action.id)
+                self.defer_notice(action.id)
 
-    def hold_back(self, name: str) -> None:
+    def defer_notice(self, name: str) -> None:
+        """Keep a notice back until it is in the journal."""
         self.unwritten.append(name)
         if self.retry is None:
-            self.retry = asyncio.get_running_loop().call_later(RETRY, self.tell_unwritten)
+            self.retry = asyncio.get_running_loop().call_later(WRITE_RETRY_S, self.retry_unwritten)
 
-    def tell_unwritten(self) -> None:
-        """Those that are written now, or whose time is up: nobody goes on with them then."""
+    def retry_unwritten(self) -> None:
+        """Send the notices that are written now, or whose deadline has passed: no process continues those."""
         self.retry = None
         written, now = self.ledger.write_all(), self.clock() + self.wall
-        held, self.unwritten = self.unwritten, []
-        for name in held:
+        deferred, self.unwritten = self.unwritten, []
+        for name in deferred:
             owed = self.ledger.owed.get(name)
             if owed is None:
                 continue
             if written or now >= owed.due:
-                self.replication.told(owed, owed.notice, self.notices.add)
+                self.replication.notice_owed(owed, owed.notice, self.notices.add)
             else:
-                self.hold_back(name)
+                self.defer_notice(name)
--- a/ryestack/lifecycle/loop_errors.py
+++ b/ryestack/lifecycle/loop_errors.py
@@ -1,4 +1,4 @@
-"""What the event loop meets where nothing of ours waits for it: told in the log, by what it means."""
+"""Logs exceptions that reach the event loop because no task of ours awaits them."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 def tell(_: asyncio.AbstractEventLoop, context: dict) -> None:
-    """The loop's exception handler. A broken connection is ordinary; any other fault is one of ours."""
-    problem, what = context.get("exception"), context["message"]
+    """The loop's exception handler. A broken connection is expected; anything else is a fault of ours."""
+    problem, message = context.get("exception"), context["message"]
     if isinstance(problem, OSError):
-        event("loop.broken", why=f"{what}: {problem}")
+        event("loop.broken", why=f"{message}: {problem}")
     elif problem is not None:
-        fault("loop.error", problem, why=what)
+        fault("loop.error", problem, why=message)
     else:
-        event("loop.error", why=what)
+        event("loop.error", why=message)
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -1,7 +1,7 @@
-"""The one task that owns the decisions. All else reaches it through its queue.
+"""The single task that owns the decision module. Everything else reaches it through its queue.
 
-Events that wait together go in one round; what the module asks for is done in the order that keeps the
-promises: journal first, then the answer to the client, then the call.
+Events that are queued together are handled in one round. The actions that the module returns are carried out
+in the order that the guarantees need: journal first, then the answer to the client, then the call.
 """
 
 import asyncio
@@ -24,61 +24,71 @@
 
 
 class Owner(Admission, Pushing, Ending, Recovery):
+    """Runs the decision module in rounds and carries out its actions.
+
+    clock: returns the event loop's time in seconds; wall: the offset to the journal's timeline.
+    """
+
     def __init__(self, settings: interface.Settings, seed: int, ledger: Ledger, clock, wall: float):
         super().__init__()
         self.settings, self.ledger, self.clock = settings, ledger, clock
-        self.wall = wall  # added to the clock, it gives times of the journal's timeline
+        self.wall = wall  # added to the clock, it gives times on the journal's timeline
         self.brain = Watched(settings, seed)
-        self.brain.told_turn = partial(self.tell_siblings, "turn")
+        self.brain.told_turn = partial(self.notify_siblings, "turn")
         self.failing_changed = asyncio.Event()
         self.brain.told_failing = self.failing_changed.set
         self.queue, self.filled = [], asyncio.Event()
-        # These three are set once they can be built, before the first round.
+        # Set by the assembly before the first round.
         self.dispatcher: Dispatcher = None
         self.notices: NoticeSink = None
         self.directory: Directory = None
         self.replication = Unreplicated()
-        self.emptied = False  # drained by staff: nothing new is taken
+        self.emptied = False  # drained by an operator: no new notifications are accepted
         self.counts = Counter()
-        self.retries: Counter[str] = Counter()  # pushes again, by how the one before ended
-        self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and how it ended
-        self.fresh: dict[str, HandIn] = {}
+        self.retries: Counter[str] = Counter()  # retried pushes by the result of the previous push
+        self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and result
+        self.fresh: dict[str, HandIn] = {}  # hand-ins of the current round that are not in the journal yet
 
     # -- the queue --------------------------------------------------------------------------------
 
     def put(self, events) -> None:
+        """Queue events for the next round."""
         self.queue.extend(events)
         self.filled.set()
 
     def hand_in(self, message: HandIn) -> None:
+        """Queue a hand-in; its verdict is set in the round that handles it."""
         self.put([message])
 
     def retune(self, settings: interface.Settings) -> None:
-        """Between rounds; the module hears of it before all that comes after."""
+        """Change the settings between rounds; the module gets them before all later events."""
         self.settings = settings
         self.put([interface.Retuned(settings)])
 
     def withdraw(self, name: str) -> None:
+        """Queue the withdrawal of a notification."""
         self.put([interface.Withdrawn(name)])
 
-    def told_platform(self, names: list[str]) -> None:
+    def notices_delivered(self, names: list[str]) -> None:
+        """The platform has received the notices of these notifications."""
         for name in names:
-            self.over(name)
+            self.finish(name)
 
-    def over(self, name: str) -> None:
-        """Nothing is owed of it any more."""
+    def finish(self, name: str) -> None:
+        """Record that nothing is owed of the notification any more."""
         if owed := self.ledger.owed.get(name):
             self.ledger.finish(name)
-            self.replication.over(owed)
+            self.replication.finish(owed)
 
     def pause(self, names: set[str]) -> None:
-        """They stay owed, but may not be acted on: out of the module, and what is out is closed."""
-        out = [(name, push) for name, push in self.brain.out if name in names]
+        """Remove notifications from the module and cancel their pushes; they stay owed meanwhile."""
+        in_flight = [(name, push) for name, push in self.brain.out if name in names]
         self.put([Paused(name) for name in names])
-        for name, push in out:
+        for name, push in in_flight:
             self.dispatcher.cancel(name, push)
 
     async def run(self) -> None:
+        """Run rounds until cancelled, one per quantum at most."""
         while True:
             await self.filled.wait()
             self.filled.clear()
@@ -86,79 +96,97 @@
             await asyncio.sleep(self.settings.quantum)
 
     def take_queue(self) -> list:
+        """Remove and return all queued events."""
         events, self.queue = self.queue, []
         return events
 
     # -- one round --------------------------------------------------------------------------------
 
     def round(self, events: list) -> None:
+        """Give events to the module and carry out its actions."""
         self.fresh = {}
-        heard = [h for h in (self.BEFORE.get(type(e), _as_is)(self, e) for e in events) if h]
-        asked, now = defaultdict(list), self.clock()
-        for told in heard:
-            self.invariants.hear(told, now)
-        for action in self.brain.round(now, heard):
-            asked[type(action)].append(action)
-        for action in asked[interface.Throttle] + asked[interface.Expire]:
+        inputs = [
+            each
+            for each in (self.HANDLERS.get(type(queued), _unchanged)(self, queued) for queued in events)
+            if each
+        ]
+        actions, now = defaultdict(list), self.clock()
+        for checked in inputs:
+            self.invariants.hear(checked, now)
+        for action in self.brain.round(now, inputs):
+            actions[type(action)].append(action)
+        for action in actions[interface.Throttle] + actions[interface.Expire]:
             self.end(action)
         for message in self.fresh.values():
             self.take(message)
-        for action in asked[interface.Cancel]:
+        for action in actions[interface.Cancel]:
             self.dispatcher.cancel(action.id, action.push)
-        for action in asked[interface.CallOff]:
+        for action in actions[interface.CallOff]:
             self.dispatcher.cancel_unsent(action.endpoint)
-        self.push(asked[interface.Push])
-        for action in asked[interface.HangUp]:
+        self.push(actions[interface.Push])
+        for action in actions[interface.HangUp]:
             self.dispatcher.close_idle(action.endpoint)
-        if any(isinstance(h, interface.ListUpdate) for h in heard):
+        if any(isinstance(each, interface.ListUpdate) for each in inputs):
             self.dispatcher.forget()
-        for _ in asked[interface.AskForList]:
+        for _ in actions[interface.AskForList]:
             self.directory.ask()
-        for action in asked[interface.Wake]:
+        for action in actions[interface.Wake]:
             asyncio.get_running_loop().call_later(action.after, self.put, [interface.Woken()])
 
-    def before_outcome(self, o: interface.Outcome):
-        if not o.made:
-            return o
-        self.invariants.ended(o.id, o.push)
-        self.tell_ended(o)
-        self.counts[o.result.value] += 1
+    def handle_outcome(self, outcome: interface.Outcome):
+        """Record the end of a push; returns it for the module."""
+        if not outcome.made:
+            return outcome
+        self.invariants.ended(outcome.id, outcome.push)
+        self.notify_ended(outcome)
+        self.counts[outcome.result.value] += 1
         if detailed():
-            facts = {name: round(getattr(o, name), 3) for name in ("elapsed", "wait", "limit", "left")}
-            event("push.ended", id=o.id, push=o.push, route=o.endpoint, result=o.result.value, **facts)
-        if o.result is Result.DELIVERED or o.ended:
-            if o.result is Result.DELIVERED and o.id in self.ledger.owed:
-                self.ended[self.ledger.owed[o.id].topic, "delivered"] += 1
-            self.over(o.id)
+            facts = {name: round(getattr(outcome, name), 3) for name in ("elapsed", "wait", "limit", "left")}
+            event(
+                "push.ended",
+                id=outcome.id,
+                push=outcome.push,
+                route=outcome.endpoint,
+                result=outcome.result.value,
+                **facts,
+            )
+        if outcome.result is Result.DELIVERED or outcome.ended:
+            if outcome.result is Result.DELIVERED and outcome.id in self.ledger.owed:
+                self.ended[self.ledger.owed[outcome.id].topic, "delivered"] += 1
+            self.finish(outcome.id)
         else:
-            self.ledger.outcome(o.id, o.push, o.result in NEVER_RAN)
-            if owed := self.ledger.owed.get(o.id):
-                owed.last_result = o.result.value
-                self.replication.ended(owed, o.push, o.result in NEVER_RAN)
-        return o
-
-    def before_withdrawn(self, event: interface.Withdrawn):
-        self.over(event.id)
+            self.ledger.outcome(outcome.id, outcome.push, outcome.result in NEVER_RAN)
+            if owed := self.ledger.owed.get(outcome.id):
+                owed.last_result = outcome.result.value
+                self.replication.push_ended(owed, outcome.push, outcome.result in NEVER_RAN)
+        return outcome
+
+    def handle_withdrawn(self, event: interface.Withdrawn):
+        """Record that a withdrawn notification is not owed; returns the event for the module."""
+        self.finish(event.id)
         return event
 
-    def before_paused(self, event: Paused):
+    def handle_paused(self, event: Paused):
+        """A pause is a withdrawal to the module, while the notification stays in the ledger."""
         return interface.Withdrawn(event.id)
 
     def in_progress(self) -> int:
+        """The number of notifications that have not ended."""
         return sum(not owed.notice for owed in self.ledger.owed.values())
 
     def settled(self) -> bool:
+        """Whether no event is queued and nothing is owed."""
         return not self.queue and not self.ledger.owed
 
-    BEFORE = {
-        HandIn: Admission.before_hand_in,
-        interface.Outcome: before_outcome,
-        interface.WaitTold: Siblings.before_wait,
-        RemoteEvent: Siblings.before_remote_event,
-        interface.Withdrawn: before_withdrawn,
-        Paused: before_paused,
+    HANDLERS = {
+        HandIn: Admission.handle_hand_in,
+        interface.Outcome: handle_outcome,
+        interface.WaitTold: Siblings.handle_wait_told,
+        RemoteEvent: Siblings.handle_remote_event,
+        interface.Withdrawn: handle_withdrawn,
+        Paused: handle_paused,
     }
 
 
-def _as_is(_, event):
+def _unchanged(_, event):
     return event
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -1,4 +1,5 @@
-"""Pushes that are decided, on their way out: checked, written, then started. What is not started is told."""
+"""Carries out decided pushes: each is checked, written to the journal and started. The decision module gets
+an outcome for each push that is not started."""
 
 from collections import Counter, defaultdict
 from enum import Enum
@@ -13,7 +14,7 @@
 
 
 class Unsent(Enum):
-    """Why a push that was decided was not started; the words are those of the counter and of the log."""
+    """Why a decided push was not started; the values appear in the metrics and in the log."""
 
     NOT_OWED = "it is not owed"
     NOT_WRITTEN = "the journal cannot be written"
@@ -22,7 +23,7 @@
 
 
 class Pushing:
-    """The part of the owner that starts calls. unsent: pushes that were not started, by why."""
+    """The part of the owner that starts calls. unsent: number of pushes not started, by reason."""
 
     def __init__(self):
         super().__init__()
@@ -30,62 +31,67 @@
         self.unsent: Counter[Unsent] = Counter()
 
     def push(self, pushes: list[interface.Push]) -> None:
+        """Start the pushes, with one call for all pushes to an endpoint."""
         calls, unsent = defaultdict(list), []
-        for each in pushes:
-            item = self.prepared(each)
+        for push in pushes:
+            item = self.prepare_item(push)
             if isinstance(item, Item):
                 self.counts["pushes"] += 1
-                calls[each.endpoint].append(item)
+                calls[push.endpoint].append(item)
             else:
-                unsent.append(self.not_started(each, item))
+                unsent.append(self.unsent_outcome(push, item))
         for endpoint, items in calls.items():
             self.start(endpoint, items)
         if unsent:
             self.put(unsent)
 
-    def prepared(self, push: interface.Push) -> Item | Unsent:
-        """What the dispatcher sends, once it is in the journal that it may have run."""
+    def prepare_item(self, push: interface.Push) -> Item | Unsent:
+        """What the dispatcher sends, once the journal records that the push may have run."""
         owed = self.ledger.owed.get(push.id)
-        if owed is None:  # refused just now, for want of room in the journal
+        if owed is None:  # just refused because the journal has no room
             return Unsent.NOT_OWED
         if rule := self.broken_rule(push, owed):
-            self.violated(rule, push.id, push.endpoint)
+            self.report_violation(rule, push.id, push.endpoint)
             return Unsent.RULE
         number = owed.pushes
         if not self.ledger.push(push.id, number, self.clock() + self.wall):
             return Unsent.NOT_WRITTEN
-        may = self.replication.begin(push, owed)
-        if may is None:
+        permission = self.replication.begin_push(push, owed)
+        if permission is None:
             return Unsent.NO_LEASE
-        return Item(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *may)
+        return Item(push.id, number, push.timeout, owed.key, owed.body, owed.heard, *permission)
 
     def broken_rule(self, push: interface.Push, owed: Owed) -> Rule | None:
-        maybe_at, topic = owed.first_may_have_run_at() - self.wall, None
-        if maybe_at < inf:
+        """The invariant that the push would violate, if any."""
+        may_have_run_at, topic = owed.first_may_have_run_at() - self.wall, None
+        if may_have_run_at < inf:
             topic, _ = decode_terms(owed.topic, owed.terms)
             topic = topic or next((t for t in self.settings.topic_types if t.name == owed.topic), None)
-        return self.invariants.check_push(push, owed, topic, self.clock(), owed.due - self.wall, maybe_at)
+        return self.invariants.check_push(
+            push, owed, topic, self.clock(), owed.due - self.wall, may_have_run_at
+        )
 
     def unanswered(self) -> None:
-        """A client's connection was ended over a request that was read."""
-        self.violated(self.invariants.unanswered(), "")
+        """A client's connection was closed without an answer to a request that had been read."""
+        self.report_violation(self.invariants.unanswered(), "")
 
-    def violated(self, rule: Rule, name: str, endpoint: str = "") -> None:
+    def report_violation(self, rule: Rule, name: str, endpoint: str = "") -> None:
         event("invariant.violated", rule=rule.value, id=name, route=endpoint)
 
-    def not_started(self, push: interface.Push, why: Unsent) -> interface.Outcome:
-        """Its outcome. Where nothing of it was written it is no push, and does not count as one."""
-        self.unsent[why] += 1
+    def unsent_outcome(self, push: interface.Push, reason: Unsent) -> interface.Outcome:
+        """The outcome of a push that was not started; if it is not in the journal it does not count."""
+        self.unsent[reason] += 1
         owed = self.ledger.owed.get(push.id)
         if detailed():
-            event("push.unsent", id=push.id, route=push.endpoint, why=why.value)
+            event("push.unsent", id=push.id, route=push.endpoint, why=reason.value)
         if owed is None:
             return interface.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True)
-        if why is Unsent.NO_LEASE:
+        if reason is Unsent.NO_LEASE:
             return interface.Outcome(push.id, owed.pushes - 1, push.endpoint, Result.NOT_SENT)
         return interface.Outcome(push.id, owed.pushes, push.endpoint, Result.NOT_SENT, made=False)
 
     def start(self, endpoint: str, items: list[Item]) -> None:
+        """Start one call to an endpoint with these items."""
         for item in items:
             self.invariants.started(item.id, item.push)
             if item.push:
@@ -95,4 +101,4 @@
             owed = self.ledger.owed[item.id]
             facts = {"destination": owed.destination, "after": owed.last_result or "none"}
             event("push.began", id=item.id, push=item.push, route=endpoint, **facts)
-        self.tell_began(endpoint, items)
+        self.notify_began(endpoint, items)
--- a/ryestack/lifecycle/recovery.py
+++ b/ryestack/lifecycle/recovery.py
@@ -1,4 +1,4 @@
-"""What lives before us, and processes that are gone, still owe: handed to the module with its history."""
+"""Recovery: gives the decision module the open notifications of earlier processes, with their history."""
 
 from dataclasses import dataclass
 
@@ -11,51 +11,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Paused:
-    """It is owed, and may not be acted on for now."""
+    """Event: the notification stays owed, but no action on it is allowed for now."""
 
     id: str
 
 
 class Recovery(Siblings):
+    """The part of the owner that takes over open notifications."""
+
     def recover(
         self,
         known: list[interface.ListUpdate],
-        told: dict | None = None,
+        learnt: dict | None = None,
         beside: bool = False,
         failed: dict[str, float] | None = None,
     ) -> None:
-        """Hand what the lives before still owe to the module, with its history; it decides.
+        """Give the open notifications of earlier processes to the module, which decides on each.
 
-        told: what the process before us had learnt; beside: it lives, told or not; failed: after a time with
-        no process, the routes that failed before it.
+        learnt: the learnt state of the previous process; beside: another process is running, whether or not
+        it sent its learnt state; failed: after a time without a process, the routes that failed before it.
         """
         self.round(list(known))
         try:
-            if told is not None:
-                learned_state.restore(self.brain, told)
+            if learnt is not None:
+                learned_state.restore(self.brain, learnt)
         except (TypeError, ValueError, KeyError, AttributeError) as problem:
             event("line.broken", why=f"what it has learnt makes no sense: {problem!r}")
-            told = None
+            learnt = None
         if failed is not None:
             learned_state.assume_down(self.brain, learned_state.failing(self.brain) | failed)
-        if told is None and beside:
+        if learnt is None and beside:
             learned_state.assume_cold(self.brain)
-        self.adopt(self.replication.inherited(list(self.ledger.owed.values())))
+        self.adopt(self.replication.actionable(list(self.ledger.owed.values())))
         self.round(self.take_queue())
 
-    def adopt(self, left: list[Owed]) -> None:
-        topics, known = {t.name for t in self.settings.topic_types}, []
-        for o in left:
-            terms, most = decode_terms(o.topic, o.terms)
-            if not o.notice and not terms and o.topic not in topics:
-                self.ledger.owe_notice(o.id, {"state": "failed"})
-            if o.notice:
-                self.replication.told(o, o.notice, self.notices.add)
+    def adopt(self, taken_over: list[Owed]) -> None:
+        """Queue open notifications for the module, and send the notices of those that have ended."""
+        topics, known = {topic.name for topic in self.settings.topic_types}, []
+        for owed in taken_over:
+            terms, max_pushes = decode_terms(owed.topic, owed.terms)
+            if not owed.notice and not terms and owed.topic not in topics:
+                self.ledger.owe_notice(owed.id, {"state": "failed"})
+            if owed.notice:
+                self.replication.notice_owed(owed, owed.notice, self.notices.add)
             else:
-                maybe = o.first_may_have_run_at() - self.wall
-                due = o.due - self.wall
-                self.told_taken(o)
-                head = o.id, due, o.destination, o.topic, o.customer, o.order_key
-                known.append(interface.Notification(*head, o.pushes, maybe, terms, most))
-        event("relay.recovered", owed=len(known), notices=len(left) - len(known))
+                may_have_run_at = owed.first_may_have_run_at() - self.wall
+                due = owed.due - self.wall
+                self.log_taken(owed)
+                head = owed.id, due, owed.destination, owed.topic, owed.customer, owed.order_key
+                known.append(interface.Notification(*head, owed.pushes, may_have_run_at, terms, max_pushes))
+        event("relay.recovered", owed=len(known), notices=len(taken_over) - len(known))
         self.put(known)
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -1,4 +1,4 @@
-"""A relay's phases from start to exit, as one table, and the object that goes through them."""
+"""The relay: the object that goes through the phases from start to exit."""
 
 import asyncio
 import resource
@@ -14,7 +14,7 @@
 from .admin import Admin
 from .assembly import assemble
 from .config import BadConfig, Config, load
-from .phases import ACCEPT, LOOK, PHASES, READY, SHORT
+from .phases import ACCEPT_AFTER_STOP_S, PHASES, POLL_INTERVAL_S, READY, STOP_DEADLINE_S
 from .settings_taker import SettingsTaker
 from .starting import Starting
 from .state_saver import StateSaver
@@ -22,11 +22,13 @@
 from .upgrade.handover import Handover
 from .upgrade.succession import Succession
 
-LAST = 0.2  # for notices that are owed when calls are wound up
-WORD = 0.3  # for the word of a process after us that it serves, where a stop comes first
+FINAL_NOTICES_S = 0.2  # for sending the notices that are owed once the calls have ended
+SUCCESSOR_READY_TIMEOUT_S = 0.3  # for a starting successor to report that it serves, once a stop is requested
 
 
 class Relay(Starting, Admin, Handover, StateSaver, SettingsTaker):
+    """One relay process: its parts, its tasks, and the transitions between its phases."""
+
     def __init__(self, config: Config):
         self.config, self.phase = config, "starting"
         loop = asyncio.get_running_loop()
@@ -41,43 +43,46 @@
         self.tasks, self.stop_asked, self.stop_at = [], asyncio.Event(), 0.0
         self.reread_asked = asyncio.Semaphore(0)
         self.loads = Counter()
-        self.staff, self.sending_away = None, None
-        self.adoption_asked, self.successor_serves = asyncio.Event(), asyncio.Event()
+        self.staff, self.drain_timer = None, None
+        self.adoption_requested, self.successor_serves = asyncio.Event(), asyncio.Event()
         self.channels: set[Channel] = set()
         self.following: set[asyncio.Task] = set()
 
-    async def happen(self, what: str) -> None:
-        self.phase, effect = PHASES[self.phase, what]
-        event("phase.changed", phase=self.phase, why=what)
+    async def happen(self, trigger: str) -> None:
+        """Make the transition that PHASES lists for this trigger; KeyError if there is none."""
+        self.phase, effect = PHASES[self.phase, trigger]
+        event("phase.changed", phase=self.phase, why=trigger)
         await getattr(self, effect)()
 
     async def run(self) -> None:
-        """From start to exit; raises if one of the lasting tasks fails."""
+        """Run from start to exit; raises if one of the background tasks fails."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_asked.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_asked.set)
         loop.add_signal_handler(signal.SIGHUP, self.reread_asked.release)
         await self.happen("begun")
         await self.happen("recovered")
         await self.until(self.stop_asked.wait())
         self.stop_at = self.clock()
-        if self.succession.successor == "starting":  # its word that it serves may be on its way
+        if self.succession.successor == "starting":  # its report that it serves may be on its way
             serves = asyncio.ensure_future(self.successor_serves.wait())
-            await self.until(asyncio.wait([serves], timeout=WORD))
+            await self.until(asyncio.wait([serves], timeout=SUCCESSOR_READY_TIMEOUT_S))
         if self.succession.relieved():
             await self.happen("relieved")
         else:
             await self.happen("asked to stop")
-            await self.until(asyncio.sleep(ACCEPT))
+            await self.until(asyncio.sleep(ACCEPT_AFTER_STOP_S))
             await self.happen("accepted long enough")
-        while self.clock() < self.stop_at + SHORT and not (self.owner.settled() and not self.busy()):
-            await self.until(asyncio.sleep(LOOK))
+        while self.clock() < self.stop_at + STOP_DEADLINE_S and not (
+            self.owner.settled() and not self.busy()
+        ):
+            await self.until(asyncio.sleep(POLL_INTERVAL_S))
         await self.happen("settled" if self.owner.settled() else "time is short")
         await self.happen("wound up")
 
-    async def until(self, waited) -> None:
-        """Wait for one thing; a lasting task that ends before it has failed."""
-        waiting = asyncio.ensure_future(waited)
+    async def until(self, awaitable) -> None:
+        """Wait for an awaitable; raises the error of a background task that ends before it."""
+        waiting = asyncio.ensure_future(awaitable)
         await asyncio.wait([waiting, *self.tasks], return_when=asyncio.FIRST_COMPLETED)
         for task in self.tasks:
             if task.done():
@@ -85,25 +90,27 @@
         await waiting
 
     def busy(self) -> bool:
-        """Requests under way; on the way out connections too: an exit resets what is on its way."""
+        """Whether requests are in progress; while stopping, also whether connections are open, since an exit
+        resets what is in transit on them."""
         leaving = self.phase not in READY
         return any(listener.busy or (leaving and listener.connections()) for listener in self.parts.listeners)
 
     async def open_listeners(self) -> None:
+        """Effect: start the background tasks and serve clients, the channel and operators."""
         parts = self.parts
-        lasting = [
+        background = [
             self.owner.run(),
             parts.notices.run(),
             parts.directory.run(self.owner.put),
             self.summaries(),
             self.save_regularly(),
             self.save_failing(),
-            self.rereads(),
-            self.adopts(),
+            self.reread_on_signal(),
+            self.adopt_regularly(),
         ]
         if parts.peering:
-            lasting.append(parts.peering.run())
-        self.tasks = [asyncio.ensure_future(each) for each in lasting]
+            background.append(parts.peering.run())
+        self.tasks = [asyncio.ensure_future(each) for each in background]
         for listener in parts.listeners:
             handed_over = self.channel.listening_socket if self.channel else None
             beside = self.succession.predecessor != "none"
@@ -111,47 +118,52 @@
             event("front.open", protocol=listener.protocol, address=address)
         if self.channel:
             self.channel.send("serves")
-            self.follow(self.channel, self.succession.predecessor_is)
+            self.start_listening(self.channel, self.succession.on_predecessor)
         self.channel_listener.open()
-        self.adoption_asked.set()
+        self.adoption_requested.set()
         if self.config.ops:
             calls = {
                 ("GET", "/-/ready"): self.ready,
                 ("GET", "/-/metrics"): self.metrics,
-                ("PUT", "/-/drain"): partial(self.asked, "told to drain"),
-                ("PUT", "/-/resume"): partial(self.asked, "told to resume"),
+                ("PUT", "/-/drain"): partial(self.request_transition, "told to drain"),
+                ("PUT", "/-/resume"): partial(self.request_transition, "told to resume"),
             }
             self.staff = Staff(calls, self.config.ops)
             event("staff.open", address=await self.staff.open())
 
-    # -- the end ----------------------------------------------------------------------------------
+    # -- stopping ---------------------------------------------------------------------------------
 
     async def announce_stop(self) -> None:
+        """Effect: tell clients that the relay leaves, and the decision module by when."""
         for listener in self.parts.listeners:
             listener.leave()
-        self.owner.put([interface.Leaving(self.stop_at + SHORT)])
+        self.owner.put([interface.Leaving(self.stop_at + STOP_DEADLINE_S)])
 
     async def close_listeners(self) -> None:
+        """Effect: accept no more connections."""
         for listener in self.parts.listeners:
             listener.shut()
 
     async def wind_up(self) -> None:
-        # A push decided from here on would never be made, and the next life would read that it may have run.
+        """Effect: end the calls and send the last notices."""
+        # A push decided after this would never be sent, but the next process would read that it may have run.
         self.owner.put([interface.Leaving(self.clock())])
         self.owner.round(self.owner.take_queue())
         await self.parts.dispatcher.close()
         if self.owner.queue:
             self.owner.round(self.owner.take_queue())
-        until = min(self.clock(), self.stop_at + SHORT) + LAST  # a turn that comes late takes from it
+        # If this phase starts late, the time for the last notices is shorter.
+        until = min(self.clock(), self.stop_at + STOP_DEADLINE_S) + FINAL_NOTICES_S
         while self.clock() < until and (self.parts.notices.waiting() or self.busy()):
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def end(self) -> None:
+        """Effect: save the state and log a last summary."""
         self.save_state()
         self.summary()
 
     async def close(self) -> None:
-        """Let go of all that is held, whatever phase the run came to."""
+        """Release all resources, whatever phase the run reached."""
         for task in self.tasks:
             task.cancel()
         if self.staff:
@@ -169,37 +181,44 @@
                 await part.close()
         self.ledger.journal.close()
 
-    async def rereads(self) -> None:
+    async def reread_on_signal(self) -> None:
+        """Reload the configuration once per SIGHUP, until cancelled."""
         while True:
-            await self.reread_asked.acquire()  # a signal each, also where several come together
-            if (self.phase, "told to reread") in PHASES:  # else it ends, and has nothing more to learn
+            await self.reread_asked.acquire()  # counts signals, so that several together are not merged
+            if (self.phase, "told to reread") in PHASES:  # otherwise the relay is about to exit
                 await self.happen("told to reread")
 
     async def reread(self) -> None:
-        """The platform's address and the settings may change in a life, the whole file or nothing of it."""
+        """Effect: reload the configuration file, completely or not at all.
+
+        The platform's address and the settings change at once; other changed keys need a restart and are
+        listed in the event config.later.
+        """
         try:
-            told = load(before=self.config)
-            settings = self.settings_after(told)
+            reread = load(before=self.config)
+            settings = self.settings_after(reread)
         except BadConfig as bad:
             self.loads["turned down"] += 1
             event("config.kept", why=str(bad))
             return
         self.loads["taken"] += 1
-        if self.parts.platform.move(told.discovery):
-            event("platform.moved", address=told.discovery)
+        if self.parts.platform.move(reread.discovery):
+            event("platform.moved", address=reread.discovery)
         self.take_settings(settings)
-        self.config = replace(self.config, discovery=told.discovery, told=told.told)
-        same = {f.name for f in fields(Config)} - {"known", "seed", "settings"}
-        if later := sorted(name for name in same if getattr(told, name) != getattr(self.config, name)):
+        self.config = replace(self.config, discovery=reread.discovery, document=reread.document)
+        fixed = {field.name for field in fields(Config)} - {"known", "seed", "settings"}
+        if later := sorted(name for name in fixed if getattr(reread, name) != getattr(self.config, name)):
             event("config.later", keys=",".join(later))
 
     async def summaries(self) -> None:
+        """Log a summary at intervals, until cancelled."""
         while True:
             await asyncio.sleep(self.config.operator.log.summary)
             self.summary()
             flush()
 
     def summary(self) -> None:
+        """Log the event relay.summary."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         event(
             "relay.summary",
--- a/ryestack/lifecycle/replication/__init__.py
+++ b/ryestack/lifecycle/replication/__init__.py
@@ -1,4 +1,5 @@
-"""The owner's work in hand and its replicas at other relays: what waits for them, what is taken over.
+"""Replication of the owner's open notifications to other relays, and take-over of theirs.
 
-`unreplicated` is what the owner asks where the operator file has no `[peers]`; all else is loaded only there.
+The owner uses `unreplicated` if the operator file has no `[peers]`; everything else is only imported if it
+has.
 """
--- a/ryestack/lifecycle/replication/incarnations.py
+++ b/ryestack/lifecycle/replication/incarnations.py
@@ -1,5 +1,5 @@
-"""The lives of this relay, in its folder: a number that grows with each start, and which may still have
-work."""
+"""The incarnations ("lives") of this relay, stored in its folder: a number that grows with each start, and
+the earlier ones that may still have open notifications."""
 
 import json
 import os
@@ -7,27 +7,28 @@
 from contextlib import suppress
 from pathlib import Path
 
-NAME = "lives"
+FILE_NAME = "lives"
 
 
 class Incarnations:
-    """before: lives that may have left work; life: this one's number. sole: no other process of it runs."""
+    """before: earlier lives that may have open notifications; life: the number of this one; sole: no other
+    process of this relay is running."""
 
     def __init__(self, folder: str, sole: bool):
-        self.path, self.before = Path(folder) / NAME, []
+        self.path, self.before = Path(folder) / FILE_NAME, []
         try:
-            told = json.loads(self.path.read_bytes())
-            self.before = [int(life) for life in told] if isinstance(told, list) else []
-            self.sole = sole  # a folder that has seen lives: its lock proves that they are over
+            saved = json.loads(self.path.read_bytes())
+            self.before = [int(life) for life in saved] if isinstance(saved, list) else []
+            self.sole = sole  # the folder has recorded lives: its lock proves that they are over
         except (OSError, ValueError, TypeError):
             self.sole = False
         self.life = max([int(time.time() * 1000), *(life + 1 for life in self.before)])
         self.write([*self.before, self.life])
 
     def next(self, life: int) -> bool:
-        """Whether this process may go on as another life: only once that is written.
+        """Continue as another life; returns False, without a change, if that cannot be written.
 
-        Else the next start would not know what is not its own any more.
+        If it were not written, the next start would not know that this life no longer owns its shard.
         """
         try:
             self.write([*self.before, self.life, life])
@@ -37,7 +38,7 @@
         return True
 
     def done(self, finished: set[int]) -> None:
-        """Those have no work left; where it can't be written they are asked after once more."""
+        """Forget lives without open notifications; if that cannot be written, it is tried again later."""
         if finished & set(self.before):
             left = [life for life in self.before if life not in finished]
             with suppress(OSError):
@@ -45,7 +46,7 @@
                 self.before = left
 
     def write(self, lives: list[int]) -> None:
-        """Raises OSError."""
-        fresh = self.path.with_name(NAME + ".new")
-        fresh.write_text(json.dumps(lives))
-        os.replace(fresh, self.path)
+        """Replace the file; raises OSError."""
+        replacement = self.path.with_name(FILE_NAME + ".new")
+        replacement.write_text(json.dumps(lives))
+        os.replace(replacement, self.path)
--- a/ryestack/lifecycle/replication/record_codec.py
+++ b/ryestack/lifecycle/replication/record_codec.py
@@ -1,5 +1,4 @@
-"""What a replica keeps of a notification: the ledger's facts as records, and a notification owed made of
-them. Pure."""
+"""Encodes an open notification and the facts about it as replicated records, and decodes them. No I/O."""
 
 from math import inf
 
@@ -8,69 +7,89 @@
 from ...peers.messages import Record
 from ...store.owed import Owed
 
-_write, _read = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
+_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder().decode
 
 
-def taken(o: Owed) -> Record:
-    maybe = None if o.may_have_run_at == inf else o.may_have_run_at
+def encode_taken(owed: Owed) -> Record:
+    """An accepted notification."""
+    may_have_run_at = None if owed.may_have_run_at == inf else owed.may_have_run_at
     head = [
-        o.due,
-        o.destination,
-        o.topic,
-        o.customer,
-        o.order_key,
-        o.key,
-        o.body,
-        o.terms,
-        o.pushes - len(o.open_pushes),
-        maybe,
+        owed.due,
+        owed.destination,
+        owed.topic,
+        owed.customer,
+        owed.order_key,
+        owed.key,
+        owed.body,
+        owed.terms,
+        owed.pushes - len(owed.open_pushes),
+        may_have_run_at,
     ]
-    return Record(o.id, _write(["taken", *head]), due=o.due)
+    return Record(owed.id, _encode(["taken", *head]), due=owed.due)
 
 
-def all_of(o: Owed) -> list[Record]:
-    """A notification with the history it has."""
-    facts = [taken(o), *(pushed(o, push, at, o.busy_until) for push, at in o.open_pushes.items())]
-    return [*facts, noticed(o, o.notice)] if o.notice else facts
+def encode_all(owed: Owed) -> list[Record]:
+    """A notification with its history."""
+    facts = [
+        encode_taken(owed),
+        *(encode_push(owed, push, sent, owed.busy_until) for push, sent in owed.open_pushes.items()),
+    ]
+    return [*facts, encode_notice(owed, owed.notice)] if owed.notice else facts
 
 
-def pushed(o: Owed, push: int, at: float, until: float) -> Record:
-    """at, until: when it went and when its relay gives it up, of the wall's clock."""
-    return Record(o.id, _write(["push", push, at, until]), due=o.due)
+def encode_push(owed: Owed, push: int, sent: float, until: float) -> Record:
+    """sent, until: when the push is sent and when its relay gives it up, in wall-clock seconds."""
+    return Record(owed.id, _encode(["push", push, sent, until]), due=owed.due)
 
 
-def ended(o: Owed, push: int, never_ran: bool) -> Record:
-    return Record(o.id, _write(["outcome", push, never_ran]), due=o.due)
+def encode_outcome(owed: Owed, push: int, never_ran: bool) -> Record:
+    """The end of a push."""
+    return Record(owed.id, _encode(["outcome", push, never_ran]), due=owed.due)
 
 
-def noticed(o: Owed, notice: dict) -> Record:
-    return Record(o.id, _write(["notice", notice]), due=o.due)
+def encode_notice(owed: Owed, notice: dict) -> Record:
+    """The notice that is owed."""
+    return Record(owed.id, _encode(["notice", notice]), due=owed.due)
 
 
-def over(name: str, due: float) -> Record:
+def encode_over(name: str, due: float) -> Record:
+    """Nothing is owed of the notification any more."""
     return Record(name, b"", True, due)
 
 
 def decode(records: list[Record]) -> Owed | None:
-    """None where the facts make no sense: they are another's messages."""
-    made, out = None, {}
+    """The notification that the records describe; None if they are invalid, as those of another relay may
+    be."""
+    owed, give_up_times = None, {}
     try:
         for record in records:
-            kind, *rest = _read(record.fact)
+            kind, *rest = _decode(record.fact)
             if kind == "taken":
-                due, dest, topic, customer, order_key, key, body, rules, pushes, maybe = rest
-                maybe = inf if maybe is None else maybe
-                made = Owed(record.id, due, dest, topic, customer, order_key, key, body, rules, pushes, maybe)
+                due, destination, topic, customer, order_key, key, body, terms, pushes, may_have_run_at = rest
+                may_have_run_at = inf if may_have_run_at is None else may_have_run_at
+                owed = Owed(
+                    record.id,
+                    due,
+                    destination,
+                    topic,
+                    customer,
+                    order_key,
+                    key,
+                    body,
+                    terms,
+                    pushes,
+                    may_have_run_at,
+                )
             elif kind == "push":
-                made.open_pushes[rest[0]], made.pushes = rest[1], made.pushes + 1
-                out[rest[0]] = float(rest[2])
+                owed.open_pushes[rest[0]], owed.pushes = rest[1], owed.pushes + 1
+                give_up_times[rest[0]] = float(rest[2])
             elif kind == "outcome":
-                sent, _ = made.open_pushes.pop(rest[0], inf), out.pop(rest[0], None)
-                made.may_have_run_at = made.may_have_run_at if rest[1] else min(made.may_have_run_at, sent)
+                sent, _ = owed.open_pushes.pop(rest[0], inf), give_up_times.pop(rest[0], None)
+                owed.may_have_run_at = owed.may_have_run_at if rest[1] else min(owed.may_have_run_at, sent)
             elif kind == "notice":
-                made.notice = rest[0]
+                owed.notice = rest[0]
     except (msgspec.MsgspecError, ValueError, TypeError, AttributeError, KeyError, IndexError):
         return None
-    if made:
-        made.busy_until = max(out.values(), default=0.0)
-    return made
+    if owed:
+        owed.busy_until = max(give_up_times.values(), default=0.0)
+    return owed
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -1,8 +1,8 @@
-"""The owner's work in hand as its replicas hold it: what waits for them, what is taken over, what must stop.
+"""Replication of the owner's open notifications: what waits for replicas, what is taken over, what stops.
 
-It carries out what the pure core (`peers/`) says: a promise waits until it is covered, or until WAIT is
-over, as the table in docs/design/peers.md has it; work of a shard is in the module only while this relay
-may act on it.
+Carries out the effects of the replication core (`peers/`). An answer, a push or a notice waits until a
+majority of the group has its record, or until WAIT has passed, as the table in docs/design/peers.md lists.
+Notifications of a shard are in the decision module only while this relay may act on that shard.
 """
 
 import asyncio
@@ -23,36 +23,45 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """done(True) once the shard's records up to at are covered, done(False) after until, or once it is
-    lost."""
+    """A continuation that waits for replicas.
+
+    Calls done(True) once the shard's records up to `position` are covered, and done(False) after the time
+    `deadline` or once the shard is lost.
+    """
 
     shard: Shard
-    at: int
-    until: float
+    position: int
+    deadline: float
     done: object
 
 
 class ReplicatedWork(TakeOver):
+    """The owner's interface to replication; `Unreplicated` has the same methods."""
+
     def __init__(self, owner, node: Node, send, alone: str, lives):
-        """send(peer, envelope); alone: `serve` or `refuse`; lives: what the folder has of our lives."""
-        self.owner, self.node, self.send, self.alone, self.lives = owner, node, send, alone, lives
+        """send(peer, envelope): sends to a peer; alone: `serve` or `refuse`, what to do without replicas;
+        lives: the incarnations that the folder has recorded."""
+        self.owner, self.node, self.send, self.without_replicas, self.lives = owner, node, send, alone, lives
         self.shard_of: dict[str, Shard] = {}
-        self.stray: dict[str, object] = {}  # of lives before: not to be acted on before their shard is ours
+        # Open notifications of earlier lives: no action on them before their shard is ours.
+        self.unclaimed: dict[str, object] = {}
         self.paused: set[str] = set()
-        self.missed: dict[str, float] = {}  # over while we might not say so, and their time
+        self.unrecorded_ends: dict[str, float] = {}  # id to due: ended while we could not write to the shard
         self.waiting: list[Waiting] = []
-        self.regained: set[int] = set()
-        self.acted = False  # this life has had its own shard once
-        self.renews = False  # our shard is another's, and a new life is not written yet
-        self.fault: Exception | None = None  # what must not be passed over: the relay ends by it
+        self.recovered_lives: set[int] = set()
+        self.has_acted = False  # whether this life has held its own shard
+        self.renewal_pending = False  # another relay has our shard, and a new life is not written yet
+        self.fault: Exception | None = None  # raised by the next tick, which ends the relay
         self.counts = Counter()
 
-    # -- the core's clock -----------------------------------------------------------------------------
+    # -- driving the core -----------------------------------------------------------------------------
 
     async def run(self) -> None:
-        # With several lives before it is not known whose each is: one in two shards would have two leaders.
-        ours = list(self.stray.values()) if len(self.lives.before) == 1 else []
-        journal = [record for owed in ours for record in record_codec.all_of(owed)]
+        """Claim the shards of earlier lives and drive the core, until cancelled."""
+        # With several earlier lives it is unknown which of them a notification belongs to. In two shards it
+        # would have two leaders, so only a single life's notifications are claimed.
+        ours = list(self.unclaimed.values()) if len(self.lives.before) == 1 else []
+        journal = [record for owed in ours for record in record_codec.encode_all(owed)]
         for life in self.lives.before:
             self.node.claim((self.node.terms.me, life), self.now(), journal)
         while True:
@@ -60,38 +69,43 @@
             await asyncio.sleep(TICK)
 
     def now(self) -> float:
+        """The owner's clock in seconds."""
         return self.owner.clock()
 
     def tick(self) -> None:
+        """Handle everything that is due by now."""
         if self.fault:
             raise self.fault
         now = self.now()
         self.node.tick(now, now + self.owner.wall)
-        if self.renews:
+        if self.renewal_pending:
             self.renew()
-        late = [w for w in self.waiting if now >= w.until]
-        self.waiting = [w for w in self.waiting if now < w.until]
+        late = [waiting for waiting in self.waiting if now >= waiting.deadline]
+        self.waiting = [waiting for waiting in self.waiting if now < waiting.deadline]
         for each in late:
             each.done(False)
         self.flush()
 
-    def hear(self, envelope):
+    def handle_request(self, envelope):
+        """Handle a peer's request; returns the answer."""
         try:
             return self.node.hear(envelope, self.now())
         finally:
             self.flush()
 
-    def answered(self, envelope) -> None:
+    def handle_answer(self, envelope) -> None:
+        """Handle a peer's answer to a request of ours."""
         self.node.answered(envelope, self.now())
         self.flush()
 
     def flush(self) -> None:
+        """Carry out the core's effects, each by the method on_<kind>."""
         while self.node.effects:
             effects, self.node.effects = self.node.effects, []
             try:
                 for kind, *rest in effects:
                     getattr(self, f"on_{kind}")(*rest)
-            except Exception as problem:  # an envelope's task would end by it unseen
+            except Exception as problem:  # otherwise only the task of one envelope would end, unnoticed
                 self.fault = problem
                 raise
 
@@ -101,107 +115,118 @@
     def on_peer(self, name: str, state: str) -> None:
         event("peer.changed", peer=name, state=state)
 
-    def on_covered(self, shard: Shard, at: int) -> None:
-        done = [w for w in self.waiting if w.shard is shard and w.at <= at]
-        self.waiting = [w for w in self.waiting if w not in done]
-        for each in done:
+    def on_covered(self, shard: Shard, position: int) -> None:
+        covered = [
+            waiting for waiting in self.waiting if waiting.shard is shard and waiting.position <= position
+        ]
+        self.waiting = [waiting for waiting in self.waiting if waiting not in covered]
+        for each in covered:
             each.done(True)
 
-    # -- what the owner asks --------------------------------------------------------------------------
+    # -- the owner's interface, see Unreplicated ------------------------------------------------------
 
-    def turned_away(self) -> float | None:
-        held = self.acts(self.node.own)
-        if held or decided("hand-in", "no lease", self.alone) != "turn away":
+    def retry_after(self) -> float | None:
+        has_lease = self.acts(self.node.own)
+        if has_lease or decided("hand-in", "no lease", self.without_replicas) != "turn away":
             return None
         self.counts["refused alone"] += 1
         return self.node.terms.lease
 
-    def took(self, owed, message) -> None:
+    def hand_in_accepted(self, owed, message) -> None:
         shard = self.node.own
-        if not self.acts(shard):  # outside any shard: nobody else knows of it, or ever will
-            self.counts[decided("hand-in", "no lease", self.alone)] += 1
+        if not self.acts(shard):  # accepted outside any shard: no guard has or will have a copy
+            self.counts[decided("hand-in", "no lease", self.without_replicas)] += 1
             self.owner.ledger.mark_unreplicated(owed.id)
             return self.verdict(message, Verdict.TAKEN)
         self.shard_of[owed.id] = shard
-        self.wait(shard, self.write(shard, [record_codec.taken(owed)]), partial(self.covers, owed, message))
-
-    def covers(self, owed, message, covered: bool) -> None:
-        done = decided("hand-in", cover(covered), self.alone)
-        self.counts[done] += 1
-        if done != "leave in doubt":
+        self.wait(
+            shard,
+            self.write(shard, [record_codec.encode_taken(owed)]),
+            partial(self.hand_in_covered, owed, message),
+        )
+
+    def hand_in_covered(self, owed, message, covered: bool) -> None:
+        """Answer the client, once the record is covered or too late."""
+        decision = decided("hand-in", cover(covered), self.without_replicas)
+        self.counts[decision] += 1
+        if decision != "leave in doubt":
             return self.verdict(message, Verdict.TAKEN)
         self.verdict(message, Verdict.EXPIRED)
         self.owner.withdraw(owed.id)
 
     def verdict(self, message, verdict: Verdict) -> None:
-        if not message.verdict.done():  # its client may have gone meanwhile
+        if not message.verdict.done():  # the client may have disconnected meanwhile
             message.verdict.set_result((verdict, 0.0))
 
-    def begin(self, push, owed) -> tuple | None:
+    def begin_push(self, push, owed) -> tuple | None:
         shard = self.shard_of.get(owed.id)
         if shard is None:
             return push.begin, None
-        left = shard.acts_until() - self.now()
-        if left <= 0.0:
+        lease_left = shard.acts_until() - self.now()
+        if lease_left <= 0.0:
             return None
         number = owed.pushes - 1
         until = self.now() + self.owner.wall + push.timeout
-        at = self.write(shard, [record_codec.pushed(owed, number, owed.open_pushes.get(number, 0.0), until)])
+        position = self.write(
+            shard, [record_codec.encode_push(owed, number, owed.open_pushes.get(number, 0.0), until)]
+        )
         if owed.effect(self.owner.settings) is Effect.REPEATABLE:
-            return min(push.begin, left), None
-        cleared = asyncio.get_running_loop().create_future()
-        self.wait(shard, at, partial(self.clear, cleared))
-        return min(push.begin, left), cleared
+            return min(push.begin, lease_left), None
+        may_send = asyncio.get_running_loop().create_future()
+        self.wait(shard, position, partial(self.push_covered, may_send))
+        return min(push.begin, lease_left), may_send
 
-    def clear(self, cleared: asyncio.Future, covered: bool) -> None:
-        if not cleared.done():
-            cleared.set_result(decided("push", cover(covered), self.alone) == "send")
+    def push_covered(self, may_send: asyncio.Future, covered: bool) -> None:
+        """Release or cancel a push, once its record is covered or too late."""
+        if not may_send.done():
+            may_send.set_result(decided("push", cover(covered), self.without_replicas) == "send")
 
-    def ended(self, owed, push: int, never_ran: bool) -> None:
+    def push_ended(self, owed, push: int, never_ran: bool) -> None:
         if shard := self.shard_of.get(owed.id):
-            self.write(shard, [record_codec.ended(owed, push, never_ran)])
+            self.write(shard, [record_codec.encode_outcome(owed, push, never_ran)])
 
-    def over(self, owed) -> None:
+    def finish(self, owed) -> None:
         if shard := self.shard_of.pop(owed.id, None):
             if self.acts(shard):
-                self.write(shard, [record_codec.over(owed.id, owed.due)])
+                self.write(shard, [record_codec.encode_over(owed.id, owed.due)])
             else:
-                self.missed[owed.id] = owed.due
+                self.unrecorded_ends[owed.id] = owed.due
 
-    def told(self, owed, notice: dict, tell) -> None:
+    def notice_owed(self, owed, notice: dict, send) -> None:
         shard = self.shard_of.get(owed.id)
         if shard is None:
-            return tell(owed.id, notice)
-        at = self.write(shard, [record_codec.noticed(owed, notice)])
-        self.wait(shard, at, partial(self.tell, owed.id, notice, tell), inf)
+            return send(owed.id, notice)
+        position = self.write(shard, [record_codec.encode_notice(owed, notice)])
+        self.wait(shard, position, partial(self.notice_covered, owed.id, notice, send), inf)
 
-    def tell(self, name: str, notice: dict, tell, covered: bool) -> None:
-        if decided("notice", cover(covered), self.alone) == "tell":
-            tell(name, notice)
+    def notice_covered(self, name: str, notice: dict, send, covered: bool) -> None:
+        """Send a notice, once its record is covered."""
+        if decided("notice", cover(covered), self.without_replicas) == "tell":
+            send(name, notice)
 
-    # -- beginning and stopping to act ------------------------------------------------------------------
+    # -- acting on a shard ------------------------------------------------------------------------------
 
     def acts(self, shard: Shard) -> bool:
+        """Whether this relay may act on the shard now."""
         return self.now() < shard.acts_until()
 
     def write(self, shard: Shard, records: list) -> int:
+        """Write records to a shard; returns the position that must be covered."""
         if not self.acts(shard):
-            return (
-                shard.at[1] + 1
-            )  # never covered as it stands: what is there is written anew when we act again
+            return shard.at[1] + 1  # not covered: the contents are written again once we act on the shard
         return self.node.write(shard, records, self.now())
 
-    def wait(self, shard: Shard, at: int, done, span: float = WAIT) -> None:
-        if shard.majority == 1 or shard.covered() >= at:
+    def wait(self, shard: Shard, position: int, done, seconds: float = WAIT) -> None:
+        """Call done(True) once the position is covered, or done(False) after `seconds`."""
+        if shard.majority == 1 or shard.covered() >= position:
             return done(True)
-        self.waiting.append(Waiting(shard, at, self.now() + span, done))
+        self.waiting.append(Waiting(shard, position, self.now() + seconds, done))
         self.flush()
 
-    def inherited(self, left: list) -> list:
-        mine = [owed for owed in left if owed.unreplicated or not self.lives.before]
-        self.stray |= {owed.id: owed for owed in left if owed not in mine}
-        if self.stray and self.regained >= set(
-            self.lives.before
-        ):  # of a process that ended after its shard was ours
+    def actionable(self, inherited: list) -> list:
+        own = [owed for owed in inherited if owed.unreplicated or not self.lives.before]
+        self.unclaimed |= {owed.id: owed for owed in inherited if owed not in own}
+        # True for notifications of a process that ended after its shard became ours.
+        if self.unclaimed and self.recovered_lives >= set(self.lives.before):
             self.on_known(self.node.own)
-        return mine
+        return own
--- a/ryestack/lifecycle/replication/unreplicated.py
+++ b/ryestack/lifecycle/replication/unreplicated.py
@@ -1,31 +1,35 @@
-"""What the owner asks of whoever guards its work, where nobody does: all is allowed, at once."""
+"""The owner's interface to replication, for a relay without replicas: everything is allowed at once."""
 
 from ...ports import Verdict
 
 
 class Unreplicated:
-    def turned_away(self) -> float | None:
-        """Seconds after which to come again, where nothing may be taken now; else None."""
+    """`ReplicatedWork` has the same methods."""
+
+    def retry_after(self) -> float | None:
+        """Seconds after which a client may retry, if nothing may be accepted now; else None."""
         return None
 
-    def took(self, owed, message) -> None:
-        """It is in the journal: the client may hear of it."""
+    def hand_in_accepted(self, owed, message) -> None:
+        """The notification is in the journal: answer the client once that is allowed."""
         message.verdict.set_result((Verdict.TAKEN, 0.0))
 
-    def inherited(self, left: list) -> list:
-        """Of what lives before us have left, what may be acted on now; the rest follows when it may."""
-        return left
+    def actionable(self, inherited: list) -> list:
+        """Of the notifications of earlier processes, those that may be acted on now; the rest follows later,
+        through Owner.adopt."""
+        return inherited
 
-    def begin(self, push, owed) -> tuple | None:
-        """(seconds within which its first byte must go, what it waits for before that); None: not now."""
+    def begin_push(self, push, owed) -> tuple | None:
+        """(seconds within which the first byte must be sent, a future to wait for before that or None);
+        None if the push is not allowed now."""
         return push.begin, None
 
-    def ended(self, owed, push: int, never_ran: bool) -> None:
-        """How a push ended, that is in the journal."""
+    def push_ended(self, owed, push: int, never_ran: bool) -> None:
+        """The outcome of a push is in the journal."""
 
-    def over(self, owed) -> None:
-        """Nothing is owed any more."""
+    def finish(self, owed) -> None:
+        """Nothing is owed of the notification any more."""
 
-    def told(self, owed, notice: dict, tell) -> None:
-        """An end is owed to the platform: tell it, once it may be told."""
-        tell(owed.id, notice)
+    def notice_owed(self, owed, notice: dict, send) -> None:
+        """A notice is owed to the platform: call send(id, notice) once that is allowed."""
+        send(owed.id, notice)
--- a/ryestack/lifecycle/scope/__init__.py
+++ b/ryestack/lifecycle/scope/__init__.py
@@ -1,3 +1,3 @@
-"""A relay that has its destinations and settings from control machines, in scope; loaded only where an
+"""The scope of a relay: destinations and settings that it gets from control machines. Only imported if the
 operator file names a cluster under `[control]`.
 """
--- a/ryestack/lifecycle/scope/destinations.py
+++ b/ryestack/lifecycle/scope/destinations.py
@@ -1,7 +1,7 @@
 """The destinations that a relay serves, from the entries of its scope.
 
-One that leaves the scope takes nothing new. Its endpoints stay until the relay owes nothing of it: what was
-taken is delivered as ever.
+A destination that leaves the scope accepts no new notifications. Its endpoints stay until the relay has no
+open notifications for it, so that accepted ones are still delivered.
 """
 
 import time
@@ -15,25 +15,28 @@
 
 PREFIX = "destination/"
 GONE = "removed"  # the status of an endpoint that is no longer listed
-SETTLE_SECONDS = 1.0  # for what clients handed in before a destination left to reach the ledger
+SETTLE_SECONDS = 1.0  # for notifications handed in before a destination left to reach the ledger
 
 
 class BadEntry(Exception):
-    """An entry that can't be used; the text says why."""
+    """An unusable entry; the text says why."""
 
 
-def number_of(key: str) -> int | None:
-    """The number of the destination of that key; None where it is no destination's."""
+def destination_number(key: str) -> int | None:
+    """The number of the destination with that key; None if the key is not a destination's."""
     text = key.removeprefix(PREFIX)
     return int(text) if text != key and text.isascii() and text.isdigit() else None
 
 
 def read_destination(entry: Entry) -> dict[str, dict]:
-    """The endpoints of a destination's entry, as rows of the list, by the name that the relay knows them by:
-    their own and the destination's number, for destinations need not agree on names. Raises BadEntry."""
-    number = number_of(entry.key)
+    """The endpoints of a destination's entry, as rows of the endpoint list, by the relay's names for them.
+
+    Those are the endpoint's name and the destination's number, since two destinations may use the same name.
+    Raises BadEntry.
+    """
+    number = destination_number(entry.key)
     if number is None:
-        raise BadEntry("a destination's key is destination/<number>")
+        raise BadEntry(f"its key is {entry.key}, must be destination/<number>")
     try:
         rows = [{"weight": 1.0, **row} for row in msgspec.json.decode(entry.value)["endpoints"]]
         named = {f"{row['name']}@{number}": {**row, "group": number} for row in rows}
@@ -48,7 +51,10 @@
 
 
 class ScopedMembers(Members):
-    """served: the destinations in scope; leaving: those that have left it, by when, with their entries."""
+    """The endpoints of a relay with a scope.
+
+    served: the destinations in scope; leaving: those that left it, with the time and their entries.
+    """
 
     scoped = True
 
@@ -59,25 +65,26 @@
         self._names: dict[int, set[str]] = {}
 
     def has(self, destination: int) -> bool:
-        """Whether it is in scope, with endpoints or without."""
+        """Whether the destination is in scope, with or without endpoints."""
         return destination in self.served
 
     def change(self, entries: Iterable[Entry], removed: Iterable[str], version: int) -> interface.ListUpdate:
-        """Put entries that `read_destination` can read in force; returns what to tell the decisions."""
+        """Apply entries that `read_destination` accepts; returns the update for the decision module."""
         rows: list[dict] = []
         for entry in entries:
-            number = number_of(entry.key)
+            number = destination_number(entry.key)
             if number is not None:
                 rows += self._rows_of(number, read_destination(entry))
                 self.served[number] = entry
                 self.leaving.pop(number, None)
-        for number in map(number_of, removed):
+        for number in map(destination_number, removed):
             if number in self.served:
                 self.leaving[number] = (self.clock(), self.served.pop(number))
         return self._tell(rows, version)
 
     def let_go(self, owed: Collection[int]) -> interface.ListUpdate:
-        """Remove the endpoints of destinations that have left and of which nothing is owed."""
+        """Remove the endpoints of destinations that left the scope. owed: destinations of open notifications,
+        which are kept."""
         rows: list[dict] = []
         for number, (since, _) in list(self.leaving.items()):
             if number not in owed and self.clock() >= since + SETTLE_SECONDS:
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -1,6 +1,6 @@
-"""The control machines as a relay's Directory: destinations in scope, and settings beside them.
+"""A Directory that gets the destinations in scope, and settings, from the control machines.
 
-Without an answer from any machine the relay goes on with what it has, and says how old that is.
+If no machine answers, the relay continues with what it has and reports its age.
 """
 
 import asyncio
@@ -23,23 +23,23 @@
 from .destinations import PREFIX, BadEntry, ScopedMembers, read_destination
 
 SETTINGS_KEY = "setting/settings"
-FIRST_SECONDS = 0.3  # that a start waits for the machines' first word; what was kept serves meanwhile
-FIRST_SCOPE_SECONDS = 3.0  # the same where nothing was kept
-LOOK_SECONDS = 1.0  # between looks for destinations of which nothing is owed any more
-SAVE_SECONDS = 60.0  # between copies for the next start, while nothing changes
+FIRST_UPDATE_TIMEOUT_S = 0.3  # a start waits this long for the machines' first answer if it has a saved scope
+FIRST_SCOPE_TIMEOUT_S = 3.0  # the same without a saved scope
+CLEANUP_INTERVAL_S = 1.0  # between checks for destinations without open notifications
+SAVE_INTERVAL_S = 60.0  # between copies for the next start, while nothing changes
 
 ReadSettings = Callable[[dict], interface.Settings]
-"""The settings of their JSON object; raises BadConfig where a relay can't use them."""
+"""Parses the JSON object of settings; raises BadConfig if a relay cannot use them."""
 TakeSettings = Callable[[interface.Settings | None, dict], None]
-"""Put settings in force, from their JSON object; None: the control tier has none (any more)."""
+"""Applies settings, given with their JSON object; None: the control machines have none (any more)."""
 
 
 class ScopeDirectory:
-    """A Directory; `bind` comes before all else, then `known`, `fresh` and `run`, and `close` at the end."""
+    """A Directory. Call `bind` first, then `known`, `fresh` and `run`, and `close` at the end."""
 
-    def __init__(self, control: Control, relay: str, owner, folder: str, most: int, seed: int) -> None:
-        """most: bytes of the folder that the copy for the next start may take."""
-        self.control, self.owner, self.folder, self.most = control, owner, folder, most
+    def __init__(self, control: Control, relay: str, owner, folder: str, max_bytes: int, seed: int) -> None:
+        """max_bytes: of the folder that the copy for the next start may take."""
+        self.control, self.owner, self.folder, self.max_bytes = control, owner, folder, max_bytes
         self.relay = control.name or relay
         self.members = ScopedMembers(owner.clock)
         self.saved = scope_file.load(folder, control.cluster, self.relay)
@@ -58,18 +58,18 @@
         )
         self._following: asyncio.Future | None = None
         self._updates: list[interface.ListUpdate] = []  # until the owner runs
-        self._tell = self._updates.extend
+        self._publish = self._updates.extend
         self._saved_at, self._is_saved = -inf, True
 
     def bind(self, read_settings: ReadSettings, take_settings: TakeSettings) -> None:
-        """Tells who reads and takes settings, and gives them those of the life before."""
+        """Set the callbacks that parse and apply settings, and apply the saved settings."""
         self._read_settings, self._take_settings = read_settings, take_settings
         for entry in self.saved.kept.entries if self.saved else ():
             if entry.key == SETTINGS_KEY and self._check([entry]) is None:
                 self._change_settings(entry)
 
     def known(self) -> interface.ListUpdate:
-        """What the life before had in force, also of destinations that had left its scope."""
+        """The saved scope, including destinations that had left it."""
         if self.saved is None:
             return interface.ListUpdate(whole=True)
         kept = [entry for entry in self.saved.kept.entries if _is_usable(entry)]
@@ -83,38 +83,39 @@
         )
 
     async def fresh(self) -> list[interface.ListUpdate]:
-        """What the machines say at once; their answers are followed from here on."""
+        """Start following the machines; returns the updates that arrive within the first moments."""
         self._following = asyncio.ensure_future(self.client.run())
-        until = self.owner.clock() + (FIRST_SECONDS if self.saved else FIRST_SCOPE_SECONDS)
+        until = self.owner.clock() + (FIRST_UPDATE_TIMEOUT_S if self.saved else FIRST_SCOPE_TIMEOUT_S)
         while self.owner.clock() < until and self.client.age() == inf and not self._following.done():
             await asyncio.sleep(0.01)
         updates, self._updates = self._updates, []
-        self._tell = self._updates.extend
+        self._publish = self._updates.extend
         return updates
 
-    async def run(self, tell) -> None:
-        tell(self._updates)
-        self._tell = tell
+    async def run(self, publish) -> None:
+        """Pass updates to publish(updates) until cancelled."""
+        publish(self._updates)
+        self._publish = publish
         while True:
-            await asyncio.wait([self._following], timeout=LOOK_SECONDS)
+            await asyncio.wait([self._following], timeout=CLEANUP_INTERVAL_S)
             if self._following.done():
                 self._following.result()
             self._let_go()
-            if self.owner.clock() > self._saved_at + SAVE_SECONDS:
+            if self.owner.clock() > self._saved_at + SAVE_INTERVAL_S:
                 self._save()
 
     def ask(self) -> None:
-        """The machines are followed all the time."""
+        """Nothing to do: the machines are followed all the time."""
 
     def age(self) -> float:
-        """Seconds since what is in force was known to be the newest, in the life before too; inf if never."""
+        """Seconds since the scope was last known to be current, in an earlier process too; inf if never."""
         age = self.client.age()
         if age == inf and self.saved and self.saved.confirmed_at:
             return max(0.0, self.owner.clock() + self.owner.wall - self.saved.confirmed_at)
         return age
 
     def figures(self) -> dict[str, float]:
-        """For the second address and the summary."""
+        """Figures for the metrics and the summary."""
         rejected = self.client.subscriber.rejected is not None
         return {
             "control_version": self.client.version,
@@ -123,14 +124,14 @@
         }
 
     async def close(self) -> None:
-        """Give the connection up; what is in force is kept for the next start."""
+        """Close the connection and save the scope for the next start."""
         if self._following is not None:
             self._following.cancel()
             await asyncio.gather(self._following, return_exceptions=True)
             self._save()
         await self.client.close()
 
-    # -- what the client tells ----------------------------------------------------------------------
+    # -- callbacks of the client --------------------------------------------------------------------
 
     def _check(self, entries: list[Entry]) -> Rejection | None:
         for entry in entries:
@@ -147,14 +148,14 @@
     def _apply(self, entries: list[Entry], removed: list[str], version: int) -> None:
         update = self.members.change(entries, removed, version)
         if update.endpoints:
-            self._tell([update])
+            self._publish([update])
         for entry in entries:
             if entry.key == SETTINGS_KEY:
                 self._change_settings(entry)
         if SETTINGS_KEY in removed:
             self._take_settings(None, {})
         event("control.applied", version=version, entries=len(entries), removed=len(removed))
-        self._saved_at = -inf  # the holdings have it only once this returns
+        self._saved_at = -inf  # saved later: the client's holdings include it only once this returns
 
     def _trouble(self, why: str) -> None:
         if why:
@@ -163,20 +164,20 @@
             event("control.flowing")
 
     def _change_settings(self, entry: Entry) -> None:
-        told = _object(entry)
-        self._take_settings(self._read_settings(told), told)
+        document = _object(entry)
+        self._take_settings(self._read_settings(document), document)
 
-    # -- what stays ---------------------------------------------------------------------------------
+    # -- clean-up and saving ------------------------------------------------------------------------
 
     def _let_go(self) -> None:
         if self.members.leaving:
             update = self.members.let_go(self._owed())
             if update.endpoints:
-                self._tell([update])
+                self._publish([update])
                 self._save()
 
     def _owed(self) -> set[int]:
-        """Destinations of which something is to be delivered, or was just handed in."""
+        """Destinations of open notifications, including those that were just handed in."""
         owed = {owed.destination for owed in self.owner.ledger.owed.values() if not owed.notice}
         return owed | {each.ntf.destination for each in self.owner.queue if isinstance(each, HandIn)}
 
@@ -186,28 +187,28 @@
         head = scope_file.FORMAT, self.control.cluster, self.relay, self.session
         confirmed_at = now - age if age < inf else 0.0
         saved = SavedScope(*head, confirmed_at, self.client.subscriber.holdings.kept(), leaving)
-        there = scope_file.load(self.folder, self.control.cluster, self.relay)
-        if there is not None and there.session > self.session:
-            return  # of the process after this one
-        is_saved = scope_file.save(self.folder, saved, self.most)
+        existing = scope_file.load(self.folder, self.control.cluster, self.relay)
+        if existing is not None and existing.session > self.session:
+            return  # written by our successor
+        is_saved = scope_file.save(self.folder, saved, self.max_bytes)
         if self._is_saved and not is_saved:
-            event("control.unsaved", most=self.most)
+            event("control.unsaved", most=self.max_bytes)
         self._saved_at, self._is_saved = self.owner.clock(), is_saved
 
 
 def _object(entry: Entry) -> dict:
     """The JSON object of an entry. Raises BadEntry."""
     try:
-        told = json.loads(entry.value)
+        document = json.loads(entry.value)
     except (ValueError, RecursionError) as problem:
         raise BadEntry(f"not JSON: {problem}") from None
-    if not isinstance(told, dict):
-        raise BadEntry("no JSON object")
-    return told
+    if not isinstance(document, dict):
+        raise BadEntry(f"is a JSON {type(document).__name__}, must be an object")
+    return document
 
 
 def _is_usable(entry: Entry) -> bool:
-    """Whether it is a destination's that this program can read: another release may have written it."""
+    """Whether it is a destination's entry that this version can read: another version may have written it."""
     try:
         return entry.key.startswith(PREFIX) and bool(read_destination(entry) or True)
     except BadEntry:
--- a/ryestack/lifecycle/service.py
+++ b/ryestack/lifecycle/service.py
@@ -1,4 +1,4 @@
-"""One relay as a process, or one control machine: its log, its configuration, its exit status."""
+"""The process of a relay or of a control machine: its log, its configuration and its exit status."""
 
 import asyncio
 import os
@@ -21,13 +21,13 @@
 
 
 def serve(environ=os.environ, operator: str | None = None, flags: dict | None = None) -> int:
-    """Run until it is told to stop; returns the exit status. Arguments as lifecycle.config.load's."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something that could reread
+    """Run until a stop signal; returns the exit status. The arguments are those of lifecycle.config.load."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the relay installs its reload handler
     log.setup()
     try:
         chosen = choose(environ, operator, flags)
         if chosen.control.role == "machine" and chosen.control.cluster:
-            from .control_machine import serve as serve_machine  # a relay loads none of it
+            from .control_machine import serve as serve_machine  # not imported in a relay's process
 
             return serve_machine(chosen, environ)
         config = load(environ, chosen=chosen)
@@ -47,7 +47,7 @@
     log.setup(config.name, chosen.format, chosen.level, chosen.repeat)
     try:
         asyncio.run(_serve(config))
-    except BadConfig as bad:  # what only a start shows: an address in use, a name that another relay has
+    except BadConfig as bad:  # found only at the start: an address in use, a name that another relay has
         return _refuse(bad)
     except OSError as problem:
         log.event("relay.ended", why=str(problem))
--- a/ryestack/lifecycle/settings_taker.py
+++ b/ryestack/lifecycle/settings_taker.py
@@ -1,4 +1,4 @@
-"""How other settings come into force in a life: those of a reread file, unless control machines tell some."""
+"""Changes a running relay's settings: those of a reloaded file, unless control machines provide settings."""
 
 from dataclasses import replace
 
@@ -9,31 +9,32 @@
 
 
 class SettingsTaker:
-    """The part of a relay that takes settings, whole or not at all.
+    """The part of a relay that applies settings, completely or not at all.
 
-    control_settings: the JSON object that control machines tell, None if they tell none.
+    control_settings: the JSON object from the control machines, None if they provide none.
     """
 
     control_settings: dict | None = None
 
-    def read_control_settings(self, told: dict) -> interface.Settings:
-        """Raises BadConfig where they can't be used, or lack what those in force have."""
-        before = self.control_settings or self.config.told["settings"]
-        if key := lacking(told, before):
-            raise BadConfig(f"{key} is missing")
-        return settings_of(told, self.config)
+    def read_control_settings(self, document: dict) -> interface.Settings:
+        """Parse settings; raises BadConfig if they are unusable or lack a key of those in force."""
+        current = self.control_settings or self.config.document["settings"]
+        if key := lacking(document, current):
+            raise BadConfig(f"{key} is missing, the settings in force have it")
+        return settings_of(document, self.config)
 
-    def take_control_settings(self, settings: interface.Settings | None, told: dict) -> None:
-        """None: those of the file hold again."""
-        self.control_settings = told if settings else None
-        self.take_settings(settings or settings_of(self.config.told["settings"], self.config))
+    def take_control_settings(self, settings: interface.Settings | None, document: dict) -> None:
+        """Apply the control machines' settings; None: return to those of the file."""
+        self.control_settings = document if settings else None
+        self.take_settings(settings or settings_of(self.config.document["settings"], self.config))
 
     def settings_after(self, reread: Config) -> interface.Settings:
-        """The settings in force once that file holds."""
-        told = self.control_settings
-        return settings_of(told, reread) if told else reread.settings
+        """The settings that will be in force with the reloaded file."""
+        document = self.control_settings
+        return settings_of(document, reread) if document else reread.settings
 
     def take_settings(self, settings: interface.Settings) -> None:
+        """Apply settings to all parts of the relay."""
         if settings == self.config.settings:
             return
         self.parts.terms.change(settings, self.clock())
--- a/ryestack/lifecycle/starting.py
+++ b/ryestack/lifecycle/starting.py
@@ -1,40 +1,41 @@
-"""What a relay does before it serves: it opens its folder, hears the process before it, and recovers."""
+"""The start of a relay before it serves: opening its folder, the predecessor's state, and recovery."""
 
 import asyncio
 
 from ..observe.log import event
 from ..store.files import AllFilesLocked
-from .upgrade.channel import PATIENCE
+from .upgrade.channel import ANSWER_TIMEOUT_S
 
-FOLDER_RETRY = 0.1  # seconds before a folder that fails is tried again
+FOLDER_RETRY_S = 0.1  # between attempts to open a folder that fails
 
 
 class Starting:
     """The part of a relay that recovers."""
 
     async def recover(self) -> None:
-        learnt, out = await self.predecessor_state() if self.channel else (None, [])
+        """Effect: read the journal, the learnt state and the endpoint list."""
+        learnt, calls_in_flight = await self.predecessor_state() if self.channel else (None, [])
         await self.open_ledger()
-        beside = bool(self.ledger.journal.other_files())
+        beside = bool(self.ledger.journal.sibling_files())
         failed = None
         if learnt is None and not beside and not self.channel:
-            before = self.saved_state()
-            learnt, failed = before.learnt, before.failing
+            saved = self.saved_state()
+            learnt, failed = saved.learnt, saved.failing
         if beside or self.channel:
-            self.succession.predecessor_is("found")
+            self.succession.on_predecessor("found")
             self.share()
         if self.parts.peering:
             self.parts.peering.begin(sole=not beside and not self.channel)
         try:
-            for endpoint, items in out:
-                self.owner.hear(self.channel, ["began", endpoint, items])
+            for endpoint, items in calls_in_flight:
+                self.owner.handle_message(self.channel, ["began", endpoint, items])
         except (TypeError, ValueError, KeyError) as problem:
             event("line.broken", why=f"the calls that it has out make no sense: {problem!r}")
         known = [self.parts.directory.known(), *await self.parts.directory.fresh()]
         self.owner.recover(known, learnt, beside, failed)
 
     async def open_ledger(self) -> None:
-        """A folder may fail for a while: what is owed there must be known before anything is served."""
+        """Read the ledger; retries while the folder fails, since a relay must know what it owes to serve."""
         while True:
             try:
                 self.ledger.recover()
@@ -43,13 +44,14 @@
                 if isinstance(problem, AllFilesLocked) or self.stop_asked.is_set():
                     raise
                 event("journal.blocked", why=str(problem))
-            await asyncio.sleep(FOLDER_RETRY)
+            await asyncio.sleep(FOLDER_RETRY_S)
         self.owner.wall = self.ledger.timeline.offset
 
     async def predecessor_state(self) -> tuple[dict | None, list]:
+        """The predecessor's learnt state and calls in flight; (None, []) if it does not send them in time."""
         await self.channel.open()
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 if (message := await self.channel.receive()) and message[0] == "learnt" and len(message) == 3:
                     return message[1], message[2]
         except TimeoutError:
--- a/ryestack/lifecycle/state_saver.py
+++ b/ryestack/lifecycle/state_saver.py
@@ -1,4 +1,4 @@
-"""What is learnt, kept for the next life of this relay."""
+"""Saves the learnt state for the next process of this relay."""
 
 import asyncio
 import zlib
@@ -7,39 +7,42 @@
 from ..store.remembered import Moment, Remembered
 from .learned_state import KEPT, export, failing
 
-# seconds between copies of what is learnt: it is of tens of seconds, and a copy takes a moment
-SAVE_EVERY = 2.0
-FAILING_EVERY = 0.1  # seconds between copies of which routes fail, which are small
+SAVE_LEARNT_INTERVAL_S = 2.0  # the learnt state covers tens of seconds, and saving it takes a moment
+SAVE_FAILING_INTERVAL_S = 0.1  # the list of failing routes is small
 
 
 class StateSaver:
-    """The part of a relay that outlives a kill without being a promise."""
+    """The part of a relay that saves state on a best-effort basis, so that it survives a kill."""
 
     async def save_regularly(self) -> None:
+        """Save the learnt state at intervals, until cancelled."""
         while True:
-            await asyncio.sleep(SAVE_EVERY)
+            await asyncio.sleep(SAVE_LEARNT_INTERVAL_S)
             self.save_state()
 
     async def save_failing(self) -> None:
-        """As soon as a route begins to fail, or delivers again."""
+        """Save the failing routes as soon as one begins to fail or delivers again, until cancelled."""
         while True:
             await self.owner.failing_changed.wait()
             self.owner.failing_changed.clear()
             if not self.channels:
                 remembered.save_failing(self.config.state, failing(self.owner.brain), self.moment())
-            await asyncio.sleep(FAILING_EVERY)
+            await asyncio.sleep(SAVE_FAILING_INTERVAL_S)
 
     def save_state(self) -> None:
-        """For the next life; while another process lives beside us, it is told on the channel."""
+        """Save the learnt state, unless another process is running: that one gets it over the channel."""
         if not self.channels:
             learnt = export(self.owner.brain)
-            remembered.save(self.config.state, learnt, self.settings_mark(), self.moment())
+            remembered.save(self.config.state, learnt, self.settings_checksum(), self.moment())
 
-    def settings_mark(self) -> str:
+    def settings_checksum(self) -> str:
+        """Identifies the settings and the format that the learnt state depends on."""
         return str(zlib.crc32(repr((self.config.settings, KEPT)).encode()))
 
     def saved_state(self) -> Remembered:
-        return remembered.load(self.config.state, self.settings_mark(), self.moment())
+        """What the previous process saved."""
+        return remembered.load(self.config.state, self.settings_checksum(), self.moment())
 
     def moment(self) -> Moment:
+        """The current time as saved state has it."""
         return Moment(self.clock(), self.ledger.timeline.boot)
--- a/ryestack/lifecycle/terms.py
+++ b/ryestack/lifecycle/terms.py
@@ -1,53 +1,57 @@
-"""Under which rules a notification is taken, while settings change. Pure: the time is an argument."""
+"""The terms under which a notification is accepted while settings change. No I/O: the time is an argument."""
 
 from dataclasses import replace
 
 from .. import interface
 
-# Seconds after a reread for which a client may still mean the old settings: clients follow 1.2 later, and
-# what they sent before takes a moment.
+# Seconds after a reload in which a client may still use the old settings: clients follow 1.2 s later, and
+# requests sent before that take a moment.
 GRACE = 2.0
-STRICT = (interface.Effect.REPEATABLE, interface.Effect.COLLAPSIBLE, interface.Effect.ONCE_ONLY)
-WIDE = ("cell", "zone", "all")  # groups that a repeat may reach, the narrowest first
+BY_STRICTNESS = (interface.Effect.REPEATABLE, interface.Effect.COLLAPSIBLE, interface.Effect.ONCE_ONLY)
+BY_REACH = ("cell", "zone", "all")  # groups that a repeat may reach, the narrowest first
 
 
 def stricter(new: interface.TopicType, old: interface.TopicType) -> interface.TopicType:
-    """The new terms, less what the old ones forbid: nobody knows which of the two a client means."""
-    effect = max(new.effect, old.effect, key=STRICT.index)
-    groups = [t for t in (new, old) if t.effect is interface.Effect.COLLAPSIBLE]
+    """The new terms restricted by the old ones, since a client may mean either of them."""
+    effect = max(new.effect, old.effect, key=BY_STRICTNESS.index)
+    collapsible = [t for t in (new, old) if t.effect is interface.Effect.COLLAPSIBLE]
     if effect is not interface.Effect.COLLAPSIBLE:
         return replace(new, effect=effect, keep_order=new.keep_order or old.keep_order)
     return replace(
         new,
         effect=effect,
-        group=min((t.group for t in groups), key=WIDE.index),
-        window=min(t.window for t in groups),
+        group=min((t.group for t in collapsible), key=BY_REACH.index),
+        window=min(t.window for t in collapsible),
         keep_order=new.keep_order or old.keep_order,
     )
 
 
 class Terms:
+    """The terms by topic type, with those of previous settings while clients may still use them."""
+
     def __init__(self, settings: interface.Settings):
-        self.topics = {t.name: t for t in settings.topic_types}
-        self.most = settings.max_pushes
-        self.before: dict[
-            str, tuple[interface.TopicType, float]
-        ] = {}  # terms that clients may still mean, until
-        self.most_before, self.until = self.most, 0.0
+        self.topics = {topic.name: topic for topic in settings.topic_types}
+        self.max_pushes = settings.max_pushes
+        # Terms of previous settings that clients may still use, and until when.
+        self.previous: dict[str, tuple[interface.TopicType, float]] = {}
+        self.previous_max_pushes, self.until = self.max_pushes, 0.0
 
     def change(self, settings: interface.Settings, now: float) -> None:
-        new = {t.name: t for t in settings.topic_types}
-        last = {name: self.of(name, now)[0] for name in {*self.topics, *self.before}}
-        gone = {name: t for name, t in last.items() if t and new.get(name) != t}
-        self.most_before, self.until = self.of_pushes(now), now + GRACE
-        self.before = {name: (t, self.until) for name, t in gone.items()}
-        self.topics, self.most = new, settings.max_pushes
-
-    def of_pushes(self, now: float) -> int:
-        return min(self.most, self.most_before) if now < self.until else self.most
+        """Put new settings in force; the old terms stay acceptable for GRACE seconds."""
+        new = {topic.name: topic for topic in settings.topic_types}
+        current = {name: self.of(name, now)[0] for name in {*self.topics, *self.previous}}
+        replaced = {name: topic for name, topic in current.items() if topic and new.get(name) != topic}
+        self.previous_max_pushes, self.until = self.max_pushes_at(now), now + GRACE
+        self.previous = {name: (topic, self.until) for name, topic in replaced.items()}
+        self.topics, self.max_pushes = new, settings.max_pushes
+
+    def max_pushes_at(self, now: float) -> int:
+        """The maximum number of pushes of a notification handed in now."""
+        return min(self.max_pushes, self.previous_max_pushes) if now < self.until else self.max_pushes
 
     def of(self, name: str, now: float) -> tuple[interface.TopicType | None, int]:
-        """The terms of one handed in now, and its number of pushes; None: there is no such topic type."""
-        new, (old, until) = self.topics.get(name), self.before.get(name, (None, 0.0))
+        """The terms and the maximum number of pushes of a notification handed in now; the terms are None if
+        there is no such topic type."""
+        new, (old, until) = self.topics.get(name), self.previous.get(name, (None, 0.0))
         old = old if now < until else None
-        return (stricter(new, old) if new and old else new or old), self.of_pushes(now)
+        return (stricter(new, old) if new and old else new or old), self.max_pushes_at(now)
--- a/ryestack/lifecycle/upgrade/__init__.py
+++ b/ryestack/lifecycle/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one relay while one takes over from the other: who serves, what each tells the other."""
+"""An upgrade: two processes of one relay, who serves, and the messages between them."""
--- a/ryestack/lifecycle/upgrade/channel.py
+++ b/ryestack/lifecycle/upgrade/channel.py
@@ -1,7 +1,8 @@
-"""The channel between the two processes of an upgrade: a Unix socket in their folder, a JSON array a message.
+"""The channel between the two processes of an upgrade: a Unix socket in their folder with JSON messages.
 
-The predecessor answers a caller with the descriptor on which clients are served; all else are messages, both
-ways. Where no such socket can be had there is no channel, and nothing else fails.
+The predecessor answers a connection with the descriptor on which clients are served. Everything else are
+messages in both directions, each a JSON array on one line. On a system without such sockets there is no
+channel, and nothing else fails.
 """
 
 import asyncio
@@ -12,41 +13,42 @@
 
 from ...observe.log import event
 
-NAME = "line"  # of the socket in the folder, the same in all versions
-PATIENCE = 1.0  # seconds for a predecessor to answer: it serves under load, and a start is owed within six
-LONGEST_MESSAGE = 16 * 1024 * 1024  # bytes: all that is learnt of thousands of endpoints
-UNREAD = 2 * 1024 * 1024  # bytes of messages that wait for the other side: some minutes of calls
-LONGEST_PATH = 100  # bytes of a socket's path that every system takes
+SOCKET_NAME = "line"  # in the folder, the same in all versions
+ANSWER_TIMEOUT_S = 1.0  # for a predecessor under load to answer; a start must not take more than 6 s
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # holds the learnt state of thousands of endpoints
+MAX_UNREAD_BYTES = 2 * 1024 * 1024  # messages queued for the other side: some minutes of calls
+MAX_PATH_BYTES = 100  # of a socket's path that every system supports
 
 
 class Channel:
-    """One end of the socket; listening_socket: the clients' own, where a predecessor handed it over."""
+    """One end of the channel. listening_socket: the clients' socket, if a predecessor handed it over."""
 
     def __init__(self, conn: socket.socket, listening_socket: socket.socket | None = None):
         self.conn, self.listening_socket = conn, listening_socket
         self.reader, self.writer = None, None
 
     async def open(self) -> None:
+        """Start the streams; only then messages can be sent and received."""
         self.conn.setblocking(False)
-        self.reader, self.writer = await asyncio.open_unix_connection(sock=self.conn, limit=LONGEST_MESSAGE)
+        self.reader, self.writer = await asyncio.open_unix_connection(sock=self.conn, limit=MAX_MESSAGE_BYTES)
 
     def send(self, *message) -> None:
-        """Queue a message; a side that does not read them is let go of."""
+        """Queue a message; closes the channel if the other side does not read."""
         if self.writer.is_closing():
             return
-        if self.writer.transport.get_write_buffer_size() > UNREAD:  # it stands still
+        if self.writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:  # the other side is stalled
             event("line.broken", why="the other process does not read")
             self.close()
         else:
             self.writer.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
     async def receive(self) -> list | None:
-        """The next message; None once the other side is gone."""
+        """The next message; None once the other side is gone or sends something invalid."""
         try:
             line = await self.reader.readline()
-            message = json.loads(line) if line.endswith(b"\n") else None  # else its sender died within it
+            message = json.loads(line) if line.endswith(b"\n") else None  # else the sender died while sending
             if message is not None and not (isinstance(message, list) and message):
-                raise ValueError("no message")
+                raise ValueError(f"a message is a JSON {type(message).__name__}, must be a non-empty array")
             return message
         except (OSError, ValueError, RecursionError) as problem:
             event("line.broken", why=repr(problem))
@@ -58,30 +60,31 @@
 
 
 def _with_path(folder: str, call) -> None:
-    """call(path of the socket); one too long for the system goes by the folder's descriptor."""
-    path = str(Path(folder) / NAME)
-    if len(path.encode()) <= LONGEST_PATH:
+    """call(path of the socket); a path too long for the system is replaced by one with the folder's
+    descriptor."""
+    path = str(Path(folder) / SOCKET_NAME)
+    if len(path.encode()) <= MAX_PATH_BYTES:
         call(path)
         return
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        call(f"/proc/self/fd/{fd}/{NAME}")
+        call(f"/proc/self/fd/{fd}/{SOCKET_NAME}")
     finally:
         os.close(fd)
 
 
 def connect(folder: str) -> Channel | None:
-    """Call the process that serves from this folder; None if there is none, or it does not answer."""
-    if not (Path(folder) / NAME).exists():
+    """Connect to the process that serves from this folder; None if there is none, or it does not answer."""
+    if not (Path(folder) / SOCKET_NAME).exists():
         return None
     conn = None
     try:
         conn = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        conn.settimeout(PATIENCE)
+        conn.settimeout(ANSWER_TIMEOUT_S)
         _with_path(folder, conn.connect)
-        said, fds, _, _ = socket.recv_fds(conn, 1, 1)
-        if not said:
-            raise OSError("it serves no more")
+        data, fds, _, _ = socket.recv_fds(conn, 1, 1)
+        if not data:
+            raise OSError("the predecessor does not serve any more")
         return Channel(conn, socket.socket(fileno=fds[0]) if fds else None)
     except OSError:
         if conn:
@@ -90,14 +93,15 @@
 
 
 class ChannelListener:
-    """Where a successor finds us; connected(socket) is called with each that comes."""
+    """Listens for a successor; connected(socket) is called for each connection."""
 
     def __init__(self, folder: str, connected):
         self.folder, self.connected, self.sock = folder, connected, None
 
     def open(self) -> None:
+        """Listen, if the system allows it; otherwise there is no channel."""
         try:
-            (Path(self.folder) / NAME).unlink(missing_ok=True)
+            (Path(self.folder) / SOCKET_NAME).unlink(missing_ok=True)
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             self.sock.setblocking(False)
             _with_path(self.folder, self.sock.bind)
@@ -122,7 +126,7 @@
 
 
 def hand_over(conn: socket.socket, descriptor: int | None) -> Channel | None:
-    """Give a successor the descriptor that clients come to; None if it is gone already."""
+    """Give a successor the descriptor of the clients' socket; None if it is gone already."""
     try:
         socket.send_fds(conn, [b"D"], [descriptor] if descriptor is not None else [])
     except OSError:
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -1,64 +1,66 @@
-"""The other processes of a relay: one that takes over from us, one that we take over from."""
+"""Handover between the processes of a relay: the successor of this process, and its predecessor."""
 
 import asyncio
 
 from ... import interface
 from ...observe.log import event
 from .. import learned_state
-from ..phases import LOOK, READY, SHORT
+from ..phases import POLL_INTERVAL_S, READY, STOP_DEADLINE_S
 from .channel import Channel, hand_over
 
-STUCK = 1.0  # seconds before what had no room is tried again: a file is read whole each time
+ADOPTION_RETRY_S = 1.0  # before a file that did not fit is tried again: each attempt reads it completely
 
 
 class Handover:
-    """The part of a relay that lives with other processes in one folder."""
+    """The part of a relay that shares its folder with other processes."""
 
     def share(self) -> None:
+        """Divide disk space and descriptors among the processes that are running now."""
         processes = self.succession.processes()
         for part in (self.ledger.journal, self.parts.dispatcher, *self.parts.listeners):
             part.share(processes)
 
     def successor_connected(self, conn) -> None:
-        """A process that is to take over from us has started."""
+        """A process that will take over from this one has started."""
         channel = hand_over(conn, self.parts.listeners[0].descriptor()) if self.phase in READY else None
         if channel is None:
             conn.close()
             return
-        self.succession.successor_is("connected")
+        self.succession.on_successor("connected")
         self.share()
-        self.follow(channel, self.succession.successor_is)
+        self.start_listening(channel, self.succession.on_successor)
 
-    def follow(self, channel: Channel, relation) -> None:
+    def start_listening(self, channel: Channel, relation) -> None:
+        """Start a task that handles a channel. relation: Succession.on_predecessor or on_successor."""
         task = asyncio.ensure_future(self.listen(channel, relation))
         self.following.add(task)
         task.add_done_callback(self.following.discard)
 
     async def listen(self, channel: Channel, relation) -> None:
-        """Until the other process is gone. Whatever ends it, it counts as gone then.
+        """Handle a channel until the other process is gone, which any error counts as.
 
-        Its part of the folder and of the descriptors is ours again, and what it owes is looked for.
+        Then its share of the folder and of the descriptors is ours again, and its journal can be adopted.
         """
         try:
-            await self.converse(channel, relation)
+            await self.exchange_messages(channel, relation)
         except Exception as problem:
             event("line.broken", why=f"a fault in what was made of a word: {problem!r}")
         channel.close()
         self.channels.discard(channel)
-        self.owner.gone(channel)
-        if relation == self.succession.successor_is and self.phase in READY:
-            self.channel_listener.close()  # the one that is gone may have taken our place in the folder
+        self.owner.sibling_gone(channel)
+        if relation == self.succession.on_successor and self.phase in READY:
+            self.channel_listener.close()  # the successor may have replaced our socket in the folder
             self.channel_listener.open()
         relation("gone")
         event("kin.gone")
         self.share()
-        self.adoption_asked.set()
+        self.adoption_requested.set()
 
-    async def converse(self, channel: Channel, relation) -> None:
-        """Hear what the other process says, and tell it all that we do."""
+    async def exchange_messages(self, channel: Channel, relation) -> None:
+        """Send our state and events to the other process, and handle its messages, until it is gone."""
         if channel.writer is None:
             await channel.open()
-            channel.send("learnt", learned_state.export(self.owner.brain), self.owner.calls_out())
+            channel.send("learnt", learned_state.export(self.owner.brain), self.owner.calls_in_flight())
             for turn in self.owner.brain.turns():
                 channel.send("turn", *turn)
         self.owner.siblings.append(channel)
@@ -70,29 +72,30 @@
                 event("heir.serves")
             else:
                 try:
-                    self.owner.hear(channel, message)
+                    self.owner.handle_message(channel, message)
                 except (TypeError, ValueError, KeyError, IndexError) as problem:
                     event("line.broken", why=f"a word that makes no sense: {problem!r}")
                     break
                 for other in self.channels - {channel}:
                     other.send(*message)
 
-    async def adopts(self) -> None:
-        """While another process has a file here, look whether it is gone: what it owed is ours then."""
+    async def adopt_regularly(self) -> None:
+        """While other processes have journal files here, adopt those of processes that are gone."""
         while True:
-            await self.adoption_asked.wait()
-            self.adoption_asked.clear()
-            while self.ledger.journal.other_files():
-                if self.phase in READY and (left := self.ledger.adopt()):
-                    self.owner.adopt(self.owner.replication.inherited(left))
-                self.owner.tell_siblings("holds", self.owner.held())
-                await asyncio.sleep(STUCK if self.ledger.retry_needed else LOOK)
-            self.owner.all_adopted()
+            await self.adoption_requested.wait()
+            self.adoption_requested.clear()
+            while self.ledger.journal.sibling_files():
+                if self.phase in READY and (adopted := self.ledger.adopt()):
+                    self.owner.adopt(self.owner.replication.actionable(adopted))
+                self.owner.notify_siblings("holds", self.owner.held())
+                await asyncio.sleep(ADOPTION_RETRY_S if self.ledger.retry_needed else POLL_INTERVAL_S)
+            self.owner.adoption_complete()
             if not self.channels:
-                self.succession.predecessor_is("gone")
+                self.succession.on_predecessor("gone")
                 self.share()
 
     async def hand_over_listeners(self) -> None:
+        """Effect: leave new connections to the successor, and end the open notifications."""
         for listener in self.parts.listeners:
             listener.replaced()
-        self.owner.put([interface.Leaving(self.stop_at + SHORT)])
+        self.owner.put([interface.Leaving(self.stop_at + STOP_DEADLINE_S)])
--- a/ryestack/lifecycle/upgrade/succession.py
+++ b/ryestack/lifecycle/upgrade/succession.py
@@ -1,36 +1,40 @@
-"""Who else of this relay lives, while one process takes over from another: a table and a short loop, no I/O.
+"""Which other processes of this relay are running during an upgrade, as two state tables. No I/O.
 
-The predecessor is the process before us, the successor the one after us. Each is followed on its own, so that
-three in a row are two such pairs.
+The predecessor is the process that this one replaces, the successor the one that replaces it. Each has its
+own state, so that three processes in a row are two such pairs.
 """
 
-# (state of the relation, what happened) -> next state; what is not listed changes nothing.
+# (state, event) -> next state; an event that is not listed changes nothing.
 PREDECESSOR = {
     ("none", "found"): "there",
     ("there", "gone"): "none",
 }
 SUCCESSOR = {
-    ("none", "connected"): "starting",  # it lives, and serves nobody yet: a stop is a stop as ever
-    ("starting", "serves"): "serving",  # who comes to the door is its concern from here on
+    ("none", "connected"): "starting",  # it does not serve clients yet: a stop still announces itself to them
+    ("starting", "serves"): "serving",  # it accepts new connections from now on
     ("starting", "gone"): "none",
     ("serving", "gone"): "none",
 }
 
 
 class Succession:
+    """The states of the predecessor and of the successor."""
+
     def __init__(self):
         self.predecessor, self.successor = "none", "none"
 
-    def predecessor_is(self, what: str) -> None:
-        self.predecessor = PREDECESSOR.get((self.predecessor, what), self.predecessor)
+    def on_predecessor(self, event: str) -> None:
+        """Apply an event of the predecessor."""
+        self.predecessor = PREDECESSOR.get((self.predecessor, event), self.predecessor)
 
-    def successor_is(self, what: str) -> None:
-        self.successor = SUCCESSOR.get((self.successor, what), self.successor)
+    def on_successor(self, event: str) -> None:
+        """Apply an event of the successor."""
+        self.successor = SUCCESSOR.get((self.successor, event), self.successor)
 
     def processes(self) -> int:
-        """How many share the relay's descriptors and its folder."""
+        """How many processes share the relay's descriptors and its folder."""
         return 1 + (self.predecessor != "none") + (self.successor != "none")
 
     def relieved(self) -> bool:
-        """Whether clients are served without us."""
+        """Whether the successor serves clients."""
         return self.successor == "serving"
--- a/ryestack/store/adoption.py
+++ b/ryestack/store/adoption.py
@@ -38,7 +38,7 @@
     def adopt(self) -> list[Owed]:
         """Adopt the files of dead processes; returns the notifications that they owed."""
         adopted, self.retry_needed = [], False
-        for path in self.journal.other_files():
+        for path in self.journal.sibling_files():
             try:
                 fd = files.lock(path)
                 if fd is None:
@@ -81,7 +81,7 @@
 
     def timeline_of_other_files(self) -> Timeline | None:
         """The timeline of another process's file: the files of a folder share one where possible."""
-        for path in self.journal.other_files():
+        for path in self.journal.sibling_files():
             with suppress(OSError), open(path, "rb") as file:
                 head = type(self)(None)
                 head.read(decode_frames(file.read(HEAD_BYTES))[0][:1])
@@ -117,9 +117,11 @@
             raise
         except OSError as problem:
             # Adopted in memory all the same, since their final answers are due; the next write is a rewrite.
-            needed = self.live_bytes + sum(map(len, payloads))
-            if needed > self.journal.max_bytes:
-                raise NoRoom(_no_room(needed, self.journal.max_bytes)) from problem
+            if self.live_bytes + sum(map(len, payloads)) > self.journal.max_bytes:
+                raise NoRoom(
+                    f"no room to adopt it: {self.live_bytes} bytes in use and {sum(map(len, payloads))} "
+                    f"to adopt, {self.journal.max_bytes} allowed"
+                ) from problem
             event("journal.blocked", why=f"adopting: {problem}")
             self.in_sync = False
         self.read(payloads)
@@ -131,10 +133,9 @@
             self.rewrite()
             self.in_sync = True
         if self.journal.size + added > self.journal.max_bytes:
-            raise NoRoom(_no_room(self.journal.size + added, self.journal.max_bytes))
+            raise NoRoom(
+                f"no room to adopt it: {self.journal.size} bytes in use and {added} to adopt, "
+                f"{self.journal.max_bytes} allowed"
+            )
         self.journal.append(*payloads)
         self.timeline_written = True
-
-
-def _no_room(needed: int, allowed: int) -> str:
-    return f"no room to adopt it: needs {needed} bytes, {allowed} allowed"
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -87,7 +87,9 @@
             found.damage.append(Damage(offset, begin - offset, begin == len(data)))
             offset = begin
     found.timeline = ledger.timeline
-    found.owed_behind_damage = {name: owed for name, owed in ledger.owed.items() if name not in found.owed}
+    found.owed_behind_damage = {
+        owed_id: later for owed_id, later in ledger.owed.items() if owed_id not in found.owed
+    }
     return found
 
 
--- a/ryestack/store/journal.py
+++ b/ryestack/store/journal.py
@@ -48,8 +48,10 @@
     while start >= 0:
         head = start - FRAME.size
         length, _ = FRAME.unpack_from(data, head)
-        fits = length <= min(MAX_PAYLOAD_BYTES, len(data) - start)
-        if fits and decode_frames(data[head : start + length])[0]:
+        if (
+            length <= min(MAX_PAYLOAD_BYTES, len(data) - start)
+            and decode_frames(data[head : start + length])[0]
+        ):
             return head
         start = data.find(PAYLOAD_PREFIX, start + 1)
     return len(data)
@@ -128,7 +130,7 @@
         except OSError:
             self.tail_remains = True
 
-    def other_files(self) -> list[Path]:
+    def sibling_files(self) -> list[Path]:
         """The files of other processes, dead or running."""
         return files.other_files(self.folder, self.path)
 
--- a/ryestack/store/ledger.py
+++ b/ryestack/store/ledger.py
@@ -147,8 +147,9 @@
         try:
             payloads = [*self.head(), payload]
             size, added = self.journal.size, sum(len(each) + FRAME.size for each in payloads)
-            threshold = REWRITE_SIZE_RATIO * self.live_bytes + REWRITE_MIN_BYTES
-            large = size > threshold or not self.journal.fits(added, self.live_bytes)
+            large = size > REWRITE_SIZE_RATIO * self.live_bytes + REWRITE_MIN_BYTES or not self.journal.fits(
+                added, self.live_bytes
+            )
             # Where hardly any bytes are dead, as once the allowance is halved, a rewrite gains nothing, and
             # one per record would block the relay for seconds. After a failed write the file may lack facts.
             gains = (
--- a/ryestack/store/records.py
+++ b/ryestack/store/records.py
@@ -19,13 +19,25 @@
         maybe_at = None if owed.may_have_run_at == inf else owed.may_have_run_at
         ended = owed.pushes - len(owed.open_pushes)
         rules = (numbers or self.known_terms).index(owed.terms) if owed.terms else None
-        head = [owed.id, owed.due, owed.destination, owed.topic, owed.customer, owed.order_key, owed.key]
-        return record("taken", *head, ended, maybe_at, rules, body=owed.body)
+        head = [
+            owed.id,
+            owed.due,
+            owed.destination,
+            owed.topic,
+            owed.customer,
+            owed.order_key,
+            owed.key,
+            ended,
+            maybe_at,
+            rules,
+        ]
+        return record("taken", *head, body=owed.body)
 
     def records_of(self, owed: Owed, numbers: list | None = None) -> list[bytes]:
         """All records of a notification in its current state."""
-        payloads = [self.taken_record(owed, numbers)]
-        payloads += [record("push", owed.id, push, sent) for push, sent in owed.open_pushes.items()]
+        payloads = [self.taken_record(owed, numbers)] + [
+            record("push", owed.id, push, sent) for push, sent in owed.open_pushes.items()
+        ]
         payloads += [record("alone", owed.id)] if owed.unreplicated else []
         return payloads + ([record("notice", owed.id, owed.notice)] if owed.notice else [])
 
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -25,7 +25,7 @@
         made.recover()
         return made
 
-    def test_each_process_writes_its_own_and_adopts_only_of_the_dead(self):
+    def test_each_process_writes_its_own_file_and_adopts_only_files_of_dead_ones(self):
         old = self.process()
         old.take(owed("n"))
         old.push("n", 0, 41.0)
@@ -36,11 +36,11 @@
         old.journal.close()
         self.assertEqual([o.id for o in new.adopt()], ["n", "o"])
         self.assertEqual((new.owed["n"].pushes, new.owed["n"].first_may_have_run_at()), (1, 41.0))
-        self.assertEqual(new.journal.other_files(), [])
+        self.assertEqual(new.journal.sibling_files(), [])
         new.journal.close()
         self.assertEqual(sorted(self.process().owed), ["m", "n", "o"])
 
-    def test_killed_between_the_copy_and_the_removal_it_owes_once(self):
+    def test_a_kill_between_the_copy_and_the_removal_duplicates_nothing(self):
         old = self.process()
         old.take(owed("n"))
         new = self.process()
@@ -50,7 +50,7 @@
         Path(self.folder, "owed").write_bytes(kept)
         new.journal.close()
         third = self.process()
-        self.assertEqual((list(third.owed), third.journal.other_files()), (["n"], []))
+        self.assertEqual((list(third.owed), third.journal.sibling_files()), (["n"], []))
         self.assertEqual(third.live_bytes, third.owed["n"].size)
 
     def test_a_rewrite_keeps_the_lock_and_a_plain_start_adopts_all(self):
@@ -66,7 +66,7 @@
         last = self.process()
         self.assertEqual((sorted(last.owed), os.listdir(self.folder)), (["m", "n"], ["owed"]))
 
-    def test_without_room_it_stays_whole_until_there_is_some(self):
+    def test_a_file_that_does_not_fit_stays_complete_until_it_does(self):
         old = self.process()
         for i in range(5):
             old.take(owed(f"n{i}", b"x" * 5000))
@@ -76,9 +76,9 @@
         old.journal.close()
         self.assertEqual((new.adopt(), list(new.owed), new.retry_needed), ([], ["m"], True))
         new.journal.share(1)
-        self.assertEqual((len(new.adopt()), len(new.owed), new.journal.other_files()), (5, 6, []))
+        self.assertEqual((len(new.adopt()), len(new.owed), new.journal.sibling_files()), (5, 6, []))
 
-    def test_damage_puts_what_came_before_in_doubt(self):
+    def test_damage_marks_earlier_notifications_as_possibly_run(self):
         old = self.process()
         old.take(owed("n"))
         at = old.journal.size
@@ -99,7 +99,7 @@
         learned_state.restore(made, json.loads(json.dumps(learned_state.export(predecessor))))
         return made
 
-    def test_waits_circuits_and_outages_go_on(self):
+    def test_retry_delays_circuits_and_outages_are_restored(self):
         predecessor = brain(routes=("a", "b", "c"))
         predecessor.round(1.0, [take(f"n{i}") for i in range(4)])
         predecessor.round(1.1, [end(f"n{i}", "a", Result.ERROR) for i in range(3)])
@@ -114,14 +114,14 @@
         successor.round(10.3, [interface.Woken()])
         self.assertNotEqual(successor.routes["a"].state, "open")
 
-    def test_what_was_never_heard_of_is_passed_over(self):
+    def test_unknown_names_in_the_learnt_state_are_ignored(self):
         successor = brain()
         unknown = {"routes": {"z": [{}, {}, {}, {}]}, "dests": {"9": [{}, {}, {}]}, "new": 1}
         learned_state.restore(successor, unknown)
         learned_state.restore(successor, {"routes": {"a": [{"odd": 1}, {"row": 2}, {}, {}]}})
         self.assertEqual(successor.routes["a"].tally.row, 2)
 
-    def test_told_nothing_every_partner_may_be_cold(self):
+    def test_without_learnt_state_every_partner_is_treated_as_cold(self):
         successor, other = brain(), brain()
         successor.round(1.0, [])
         learned_state.assume_cold(successor)
@@ -130,10 +130,11 @@
 
 class Overheard(unittest.TestCase):
     def call(self, *names, endpoint="a"):
-        topic = interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0)
-        return interface.Overheard(endpoint, tuple((name, 0, topic) for name in names))
+        return interface.Overheard(endpoint, tuple(
+            (name, 0, interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0)) for name in names
+        ))
 
-    def test_their_calls_take_our_slots_and_give_them_back(self):
+    def test_a_siblings_calls_use_our_slots_and_release_them(self):
         b = brain(routes=("a",), slots=4, rate=1000.0)
         b.round(1.0, [self.call("x"), self.call("y"), self.call("z")])
         self.assertEqual(b.slots, 1)
@@ -141,12 +142,12 @@
         b.round(1.2, [end(name, "a", Result.DELIVERED) for name in "xyz"])
         self.assertEqual((len(b.held), b.slots, len(b.out)), (2, 2, 2))
 
-    def test_a_call_of_many_is_one_and_nothing_of_ours_joins_it(self):
+    def test_a_siblings_batch_is_one_call_and_no_push_of_ours_joins_it(self):
         b = brain(kind="bulk")
         acts = b.round(1.0, [self.call(*"xyz"), take("n")])
         self.assertEqual((pushes(acts), b.slots), ([("n", "a")], 10))
 
-    def test_their_failures_open_our_circuit_and_their_calls_are_not_ours_to_cancel(self):
+    def test_a_siblings_failures_open_our_circuit_and_its_calls_are_not_cancelled(self):
         b = brain(routes=("a",), slots=4, may_cancel=True)
         b.round(1.0, [self.call(name) for name in "xyz"])
         for now in (3.0, 6.0, 9.0):
@@ -155,7 +156,7 @@
             self.assertEqual((kinds(acts, interface.Cancel), theirs), ([], []))
             self.assertNotEqual(b.routes["a"].state, "closed")
 
-    def test_an_endpoint_that_we_do_not_know_is_passed_over(self):
+    def test_a_call_to_an_unknown_endpoint_is_ignored(self):
         b = brain()
         b.round(1.0, [self.call("x", endpoint="unknown"), end("x", "unknown", Result.ERROR)])
         self.assertEqual(b.slots, 12)
@@ -164,7 +165,7 @@
 class Turns(unittest.TestCase):
     """Order by key over two processes."""
 
-    def test_a_younger_one_waits_for_the_elders_and_an_adopted_one_keeps_its_place(self):
+    def test_a_notification_waits_for_earlier_ones_of_its_key_and_an_adopted_one_keeps_its_place(self):
         b = brain()
         b.round(1.0, [interface.Turn("k", "old", False), interface.Turn("k", "older", False)])
         self.assertEqual(pushes(b.round(1.1, [take("n", "turns", key="k")])), [])
@@ -176,11 +177,12 @@
         b.round(9.0, [interface.Woken()])
         self.assertEqual(b.keys, {})
 
-    def test_words_of_turns_go_out_once_and_are_not_told_back(self):
+    def test_key_order_messages_are_sent_once_and_not_echoed(self):
         said, b = [], Watched(settings(), 1)
         b.told_turn = lambda *word: said.append(word[:3])
-        listed = (interface.Endpoint("a", "z", "shared", 7, rate=50.0),)
-        b.round(0.0, [interface.ListUpdate(listed, whole=True)])
+        b.round(0.0, [
+            interface.ListUpdate((interface.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
+        ])
         b.round(1.0, [take("n", "turns", key="k"), interface.Turn("k", "x", False)])
         self.assertEqual([turn[:3] for turn in b.turns()], [("k", "n", False), ("k", "x", False)])
         b.round(1.1, [end("n", "a", Result.DELIVERED), interface.Turn("k", "x", True)])
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -73,7 +73,7 @@
         self.control = FaultControl(Path(self.folder) / "faults")
         self.addCleanup(self.control.close)
 
-    async def test_a_restart_on_a_stepped_clock_neither_gives_up_early_nor_forgets(self):
+    async def test_a_restart_with_a_stepped_clock_neither_expires_early_nor_loses_anything(self):
         wrong = {}
         for step in STEPS:
             for back in (True, False):
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -25,7 +25,7 @@
 
 
 class Starting(Folder, unittest.IsolatedAsyncioTestCase):
-    async def test_a_stop_that_comes_while_it_starts_or_twice_is_a_clean_end_that_loses_nothing(self):
+    async def test_a_stop_during_the_start_or_twice_exits_cleanly_and_loses_nothing(self):
         server, agent = await stand_in(lambda *_: http(200, json.dumps(listed()).encode()))
         for at in ("begun", "recovered"):
             path = config(self.folder, agent)
@@ -74,7 +74,7 @@
         await process.wait()
         other.close()
 
-    async def test_idle_clients_that_fill_the_descriptors_keep_neither_list_nor_partner_nor_client_out(self):
+    async def test_idle_clients_that_use_all_descriptors_block_neither_registry_nor_endpoint_nor_client(self):
         calls, down, asked = [], True, asyncio.Event()
 
         def platform(head, _):
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -40,7 +40,7 @@
 
 
 class Started(Program, unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_whose_folder_cannot_be_written_serves_and_owes_what_it_owed(self):
+    async def test_a_start_with_an_unwritable_folder_serves_and_keeps_what_is_owed(self):
         """A kill left half a record, and the disk fails just as the next process starts."""
         control = FaultControl(Path(self.folder) / "faults")
         self.addCleanup(control.close)
@@ -70,7 +70,7 @@
 
 
 class Adopted(Folder, unittest.TestCase):
-    def test_half_a_copy_that_cannot_be_taken_back_hides_nothing_written_after_it(self):
+    def test_a_partial_copy_that_cannot_be_truncated_hides_no_later_record(self):
         """A process that is gone left a file; its copy behind ours is cut short, and so is its removal."""
         ours, gone = Ledger(Journal(self.folder, 100_000)), Ledger(Journal(self.folder, 100_000))
         ours.recover()
@@ -104,7 +104,7 @@
         self.addCleanup(made.journal.close)
         return made
 
-    def test_a_file_that_cannot_be_taken_away_is_not_taken_over_again(self):
+    def test_a_file_that_cannot_be_removed_is_not_adopted_twice(self):
         ours = self.two()
         with mock.patch.object(Path, "unlink", side_effect=OSError(errno.EIO, "i/o error")):
             self.assertEqual([o.id for o in ours.adopt()], ["theirs"])
@@ -118,7 +118,7 @@
         self.assertEqual(list(with_it.owed), ["mine"])
         self.assertEqual((list(self.again().owed), os.listdir(self.folder)), (["mine"], ["owed"]))
 
-    def test_a_start_that_takes_up_the_adopted_file_knows_what_became_of_it_since(self):
+    def test_a_start_on_an_adopted_file_uses_the_newer_state_of_the_adopter(self):
         """Ours is `owed.1` then: the next process finds `owed` free and begins with that one."""
         gone = Ledger(Journal(self.folder, 100_000))
         gone.recover()
@@ -137,7 +137,7 @@
             self.assertEqual({n: o.pushes for n, o in last.owed.items()}, {"owed still": 1})
             last.journal.close()
 
-    def test_while_nothing_can_be_written_what_a_process_left_is_ours_and_stays_in_its_file_too(self):
+    def test_while_nothing_can_be_written_adopted_notifications_stay_in_the_old_file_too(self):
         """Its ends are due all the same; a push waits until it is written, and so does the file's removal."""
         full = OSError(errno.ENOSPC, "no space left")
         for killed in (False, True):
@@ -150,7 +150,7 @@
                 self.assertTrue(Path(self.folder, "owed.1").exists())
             if not killed:
                 self.assertTrue(ours.push("theirs", 0, 42.0))
-                self.assertEqual((ours.adopt(), ours.journal.other_files()), ([], []))
+                self.assertEqual((ours.adopt(), ours.journal.sibling_files()), ([], []))
             ours.journal.close()
             last = self.again()
             self.assertEqual(sorted(last.owed), ["mine", "theirs"])
@@ -159,7 +159,7 @@
             for name in os.listdir(self.folder):
                 os.unlink(f"{self.folder}/{name}")
 
-    def test_a_file_that_cannot_be_opened_for_a_moment_is_taken_over_later(self):
+    def test_a_file_that_cannot_be_opened_for_a_moment_is_adopted_later(self):
         ours, real = self.two(), files.lock
         busy = OSError(errno.ENFILE, os.strerror(errno.ENFILE))
         with mock.patch.object(files, "lock", side_effect=busy):
@@ -167,7 +167,7 @@
         self.assertIs(files.lock, real)
         self.assertEqual([owed.id for owed in ours.adopt()], ["theirs"])
 
-    def test_what_an_earlier_rewrite_left_is_no_part_of_the_next(self):
+    def test_the_remains_of_an_earlier_rewrite_are_not_part_of_the_next(self):
         ours = self.two()
         file = Path(self.folder, "owed.new")
         file.write_bytes(b"half a rewrite that could not be taken away")
@@ -175,7 +175,7 @@
         ours.journal.close()
         self.assertEqual(sorted(self.again().owed), ["mine", "theirs"])
 
-    def test_times_of_a_file_with_another_timeline_are_told_on_ours(self):
+    def test_times_of_a_file_with_another_timeline_are_converted_to_ours(self):
         began = MachineClock("boot", 100.0, 1_000.0)
         stepped = MachineClock("boot", 150.0, 4_650.0)
         gone = Ledger(Journal(self.folder, 100_000), lambda: began)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -149,7 +149,7 @@
 
 
 class Bounds(Folder, unittest.IsolatedAsyncioTestCase):
-    async def test_idle_clients_leave_the_front_room_and_all_fit_the_descriptors(self):
+    async def test_connection_limits_fit_the_descriptors_with_idle_clients(self):
         for sockets in (256, 1024):
             limits = {"cores": 1.0, "memory_mb": 64, "sockets": sockets, "disk_mb": 3}
             path = config(self.folder, "127.0.0.1:1", limits=limits)
@@ -161,13 +161,13 @@
 
 
 class Configuration(Folder, unittest.TestCase):
-    def test_phases_lead_from_start_to_exit(self):
+    def test_the_phase_table_leads_from_start_to_exit(self):
         phase, inputs = "starting", ["begun", "recovered", "asked to stop", "accepted long enough", "settled"]
         for heard in [*inputs, "wound up"]:
             phase, _ = PHASES[phase, heard]
         self.assertEqual(phase, "ended")
 
-    def test_what_is_wrong_is_named_in_one_line(self):
+    def test_each_configuration_error_is_named_in_one_line(self):
         wrong = (
             ("listen", "x", "listen"), ("discovery", "x:y", "discovery"),
             ("ops", "x", "ops"), ("ops", 7, "ops"),
@@ -182,7 +182,7 @@
         with self.assertRaises(BadConfig):
             load({})
 
-    def test_a_mix_of_two_shapes_is_refused_by_its_key(self):
+    def test_a_mix_of_two_deployment_shapes_is_refused_by_its_key(self):
         zone = [{"name": "m", "effect": "keyed", "group": "zone", "targetMs": 1.0, "deadlineMs": 2.0}]
         mixed = (
             ({"report": {"names": ["x0", "x1"], "source": "silent"}}, "report.names"),
@@ -204,7 +204,7 @@
         with self.assertRaisesRegex(MixedDeployment, "directory.source"):
             load({"LB_CONFIG": path, "LB_STATE": self.folder}, flags={"directory.source": "fixed"})
 
-    def test_a_number_that_cannot_be_one_is_named(self):
+    def test_an_invalid_number_is_reported_by_its_key(self):
         for change, key in (({"balancers": -3}, "balancers"), ({"overShareWorth": inf}, "overShareWorth"),
                             ({"specifics": {"callSlots": True}}, "callSlots")):
             path = config(self.folder, "127.0.0.1:1", change=change)
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -10,7 +10,7 @@
 from unittest.mock import Mock, patch
 
 from ryestack.lifecycle.relay import PHASES, Relay
-from ryestack.lifecycle.upgrade.channel import LONGEST_PATH, Channel, ChannelListener, connect, hand_over
+from ryestack.lifecycle.upgrade.channel import MAX_PATH_BYTES, Channel, ChannelListener, connect, hand_over
 from ryestack.lifecycle.upgrade.succession import PREDECESSOR, SUCCESSOR, Succession
 from ryestack.store import files
 from ryestack.store.journal import Journal
@@ -21,15 +21,15 @@
 
 
 class Table(unittest.TestCase):
-    def test_an_heir_that_never_serves_or_dies_leaves_us_as_before(self):
+    def test_a_successor_that_never_serves_or_dies_changes_nothing(self):
         s = Succession()
-        s.successor_is("connected")
+        s.on_successor("connected")
         self.assertEqual((s.processes(), s.relieved()), (2, False))
-        s.successor_is("gone")
-        s.successor_is("serves")  # a word of the one that is gone
+        s.on_successor("gone")
+        s.on_successor("serves")  # a word of the one that is gone
         self.assertEqual((s.processes(), s.relieved()), (1, False))
 
-    def test_all_pairs_lead_to_a_state_that_is_told_and_one_that_is_gone_counts_no_more(self):
+    def test_every_event_leads_to_a_listed_state_and_a_dead_process_is_not_counted(self):
         for table, whats in ((PREDECESSOR, ("found", "gone")), (SUCCESSOR, ("connected", "serves", "gone"))):
             states = {"none", *table.values(), *(state for state, _ in table)}
             for state in states - {"none"}:
@@ -37,46 +37,46 @@
             for state in states:
                 for what in whats:
                     s = Succession()
-                    relation, tell = "successor", s.successor_is
+                    relation, tell = "successor", s.on_successor
                     if table is PREDECESSOR:
-                        relation, tell = "predecessor", s.predecessor_is
+                        relation, tell = "predecessor", s.on_predecessor
                     setattr(s, relation, state)
                     tell(what)
                     self.assertIn(getattr(s, relation), states)
                     self.assertEqual(s.relieved(), s.successor == "serving")
 
-    def test_three_in_a_row(self):
+    def test_three_processes_in_a_row(self):
         s = Succession()
-        s.predecessor_is("found")
-        s.successor_is("connected")
-        s.successor_is("serves")
+        s.on_predecessor("found")
+        s.on_successor("connected")
+        s.on_successor("serves")
         self.assertEqual((s.processes(), s.relieved()), (3, True))
-        s.predecessor_is("gone")
+        s.on_predecessor("gone")
         self.assertEqual((s.processes(), s.relieved()), (2, True))
 
-    def test_relieved_it_ends_what_it_owes_from_any_state_of_serving(self):
+    def test_once_relieved_it_drains_from_every_serving_phase(self):
         for phase in ("serving", "emptying", "empty"):
             self.assertEqual(PHASES[phase, "relieved"], ("draining", "hand_over_listeners"))
 
 
 class Lines(Folder, unittest.IsolatedAsyncioTestCase):
-    async def test_whatever_ends_what_is_heard_the_other_counts_as_gone(self):
+    async def test_any_error_while_listening_marks_the_other_process_as_gone(self):
         """Unseen, its half of the folder would be kept for it for good."""
 
         async def fault(*_):
             raise RuntimeError("of our own")
 
         relay, successor, channel = Mock(), Succession(), Mock()
-        successor.successor_is("connected")
-        relay.configure_mock(converse=fault, channels={channel}, phase="leaving")
-        relay.adoption_asked = asyncio.Event()
-        await Relay.listen(relay, channel, successor.successor_is)
+        successor.on_successor("connected")
+        relay.configure_mock(exchange_messages=fault, channels={channel}, phase="leaving")
+        relay.adoption_requested = asyncio.Event()
+        await Relay.listen(relay, channel, successor.on_successor)
         self.assertEqual((successor.successor, relay.channels), ("none", set()))
-        self.assertTrue(relay.adoption_asked.is_set())
+        self.assertTrue(relay.adoption_requested.is_set())
         relay.share.assert_called_once_with()
-        relay.owner.gone.assert_called_once_with(channel)
+        relay.owner.sibling_gone.assert_called_once_with(channel)
 
-    async def test_where_such_sockets_are_refused_there_is_no_line_and_nothing_else(self):
+    async def test_without_unix_sockets_there_is_no_channel_and_everything_else_works(self):
         real = socket.socket
 
         def refused(family=socket.AF_INET, *more, **names):
@@ -95,8 +95,8 @@
             self.assertTrue(kept.take(owed("n")))
             kept.journal.close()
 
-    async def test_a_folder_with_a_long_name_and_a_caller_that_goes(self):
-        folder = f"{self.folder}/{'x' * LONGEST_PATH}"
+    async def test_a_long_folder_path_a_disconnect_and_invalid_messages(self):
+        folder = f"{self.folder}/{'x' * MAX_PATH_BYTES}"
         os.mkdir(folder)
         self.assertIsNone(connect(folder))
         got = asyncio.Queue()
@@ -184,7 +184,7 @@
             made.journal.close()
         return begun, promised, ending, over, changes >= dies_at
 
-    def test_nothing_is_lost_and_what_is_over_does_not_come_back(self):
+    def test_a_kill_at_any_change_loses_nothing_and_revives_nothing(self):
         at, died = 0, True
         while died:
             at += 1
@@ -198,8 +198,9 @@
             self.assertLessEqual(promised - ending, found, f"killed at change {at}")
             self.assertLessEqual(found, begun - over, f"killed at change {at}")
             for one in found:
-                history = last.owed[one].pushes, last.owed[one].first_may_have_run_at()
-                self.assertIn(history, ((0, inf), (1, 40.0)))
+                self.assertIn(
+                    (last.owed[one].pushes, last.owed[one].first_may_have_run_at()), ((0, inf), (1, 40.0))
+                )
             self.assertEqual(len(os.listdir(self.folder)), 1)
             self.assertEqual(last.live_bytes, sum(o.size for o in last.owed.values()))
         self.assertGreater(at, 15)
--- a/tests/test_notices_written.py
+++ b/tests/test_notices_written.py
@@ -22,27 +22,27 @@
             journal, append=mock.Mock(side_effect=full), rewrite=mock.Mock(side_effect=full)
         )
 
-    async def test_an_end_that_the_journal_cannot_take_is_told_once_it_can(self):
-        o = self.owner()
-        o.round([self.hand_in("n")])
-        with self.failing(o):
-            o.fresh = {}
-            o.end(interface.Throttle("n", 1.0))
+    async def test_a_notice_that_cannot_be_written_is_sent_once_it_is_written(self):
+        owner = self.owner()
+        owner.round([self.hand_in("n")])
+        with self.failing(owner):
+            owner.fresh = {}
+            owner.end(interface.Throttle("n", 1.0))
             await asyncio.sleep(0.15)
-            self.assertEqual((self.told, o.ledger.owed["n"].notice["state"]), ([], "returned"))
-            self.assertFalse(o.settled())
+            self.assertEqual((self.told, owner.ledger.owed["n"].notice["state"]), ([], "returned"))
+            self.assertFalse(owner.settled())
         await asyncio.sleep(0.25)
         self.assertEqual([name for name, _ in self.told], ["n"])
         again = self.again(1.0)
         self.assertEqual((self.sent, [name for name, _ in self.told]), ([], ["n"]))
         self.assertEqual(again.ledger.owed["n"].notice["state"], "returned")
 
-    async def test_once_its_time_is_up_it_is_told_though_it_cannot_be_written(self):
-        o = self.owner()
-        o.round([self.hand_in("n", due=30.0)])
-        with self.failing(o):
-            o.fresh = {}
-            o.end(interface.Expire("n"))
+    async def test_after_its_deadline_a_notice_is_sent_although_it_cannot_be_written(self):
+        owner = self.owner()
+        owner.round([self.hand_in("n", due=30.0)])
+        with self.failing(owner):
+            owner.fresh = {}
+            owner.end(interface.Expire("n"))
             await asyncio.sleep(0.15)
             self.assertEqual(self.told, [])
             self.now = 30.0
@@ -51,7 +51,7 @@
 
 
 class LocalFaults(unittest.IsolatedAsyncioTestCase):
-    async def test_what_this_machine_lacks_is_no_sign_of_the_endpoint(self):
+    async def test_a_lack_of_local_resources_is_not_a_failure_of_the_endpoint(self):
         loop = type(asyncio.get_running_loop())
         for number, result in (
             (errno.EMFILE, Result.NOT_SENT), (errno.ENFILE, Result.NOT_SENT),
@@ -65,7 +65,7 @@
 
             with mock.patch.object(loop, "sock_connect", lambda _, s, a, f=failing: f(s, a)):
                 outcomes, _ = await called(lambda *_: http(200))
-            self.assertEqual([o.result for o in outcomes], [result], errno.errorcode[number])
+            self.assertEqual([owner.result for owner in outcomes], [result], errno.errorcode[number])
 
 
 if __name__ == "__main__":
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -34,8 +34,9 @@
     def setUp(self):
         super().setUp()
         self.now = 10.0
-        listed = (interface.Endpoint("a", "z", "shared", 7, rate=50.0),)
-        self.listed = interface.ListUpdate(listed, whole=True)
+        self.listed = interface.ListUpdate(
+            (interface.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True
+        )
 
     def hand_in(self, name, topic="again", due=30.0, body=b"x"):
         loop = asyncio.get_running_loop()
@@ -53,7 +54,7 @@
 
 
 class OwnerTask(OwnerMade, unittest.IsolatedAsyncioTestCase):
-    async def test_a_failed_asking_is_followed_by_another_later_each_time_until_one_goes_well(self):
+    async def test_a_failed_list_request_is_retried_with_backoff_until_one_succeeds(self):
         o, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
         o.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
         self.now += 1.1
@@ -83,7 +84,7 @@
         read.journal.close()
         self.assertEqual((read.owed["n"].due, read.owed["n"].open_pushes), (1030.0, {0: 1010.0}))
 
-    async def test_what_its_client_would_not_hear_of_any_more_is_turned_away_unseen(self):
+    async def test_a_hand_in_past_its_answer_deadline_is_refused_before_the_module_sees_it(self):
         o, late, soon = self.owner(), self.hand_in("late"), self.hand_in("soon")
         late.answer_by, soon.answer_by = self.now - 0.01, self.now
         o.round([late, soon])
@@ -92,53 +93,53 @@
         self.assertEqual(self.sent, [("soon", 0)])
         self.assertEqual(o.ended["again", "throttled"], 1)
 
-    async def test_an_end_at_once_answers_and_leaves_nothing_owed(self):
+    async def test_an_immediate_final_answer_leaves_nothing_owed(self):
         o, message = self.owner(), self.hand_in("n", due=10.0)
         o.round([message])
         self.assertEqual((message.verdict.result()[0], o.ledger.owed, self.told), (Verdict.THROTTLED, {}, []))
 
-    async def test_a_later_end_is_a_notice_and_is_owed_until_taken(self):
+    async def test_a_later_final_answer_is_a_notice_and_is_owed_until_delivered(self):
         o = self.owner()
         o.round([self.hand_in("n", "once")])
         o.round([interface.Outcome("n", 0, "a", Result.BROKEN)])
         self.assertEqual(self.told, [("n", {"state": "failed"})])
         again = self.again(1.0)
         self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], []))
-        again.told_platform(["n"])
+        again.notices_delivered(["n"])
         self.again(1.0)
         self.assertEqual(self.told, [])
 
-    async def test_after_a_kill_each_is_decided_by_its_history(self):
+    async def test_after_a_kill_each_notification_is_decided_by_its_history(self):
         o = self.owner()
         o.round([self.hand_in("n", "once"), self.hand_in("m"), self.hand_in("o", "merge")])
         o.round([self.hand_in("p", "once", due=11.0), interface.Outcome("m", 0, "a", Result.DELIVERED)])
         o = self.again(2.0)
         self.assertEqual(sorted(self.told), [("n", {"state": "failed"}), ("p", {"state": "failed"})])
         self.assertEqual(self.sent, [("o", 1)])
-        o.told_platform(["n", "p"])
+        o.notices_delivered(["n", "p"])
         self.again(6.0)
         self.assertEqual(self.told, [("o", {"state": "returned"})])
 
-    async def test_a_withdrawn_one_is_forgotten(self):
+    async def test_a_withdrawn_notification_is_forgotten(self):
         o = self.owner()
         o.round([self.hand_in("n")])
         o.round([interface.Withdrawn("n")])
         self.again(1.0)
         self.assertEqual((self.sent, self.told), ([], []))
 
-    async def test_an_id_in_use_is_malformed_and_the_first_stays(self):
+    async def test_an_id_in_use_is_malformed_and_the_first_notification_stays(self):
         o, twice = self.owner(), self.hand_in("n")
         o.round([self.hand_in("n"), twice])
         self.assertEqual((twice.verdict.result()[0], list(o.ledger.owed)), (Verdict.UNREADABLE, ["n"]))
 
-    async def test_many_in_one_round_do_not_overfill_the_journal(self):
+    async def test_many_hand_ins_in_one_round_do_not_overfill_the_journal(self):
         o, many = self.owner(), [self.hand_in(f"n{i}", body=b"x" * 3_000) for i in range(90)]
         o.round(many)
         statuses = [m.verdict.result()[0] for m in many]
         self.assertEqual(statuses.count(Verdict.TAKEN), 10)
         self.assertLess(o.ledger.journal.size, 50_000)
 
-    async def test_nearly_full_refuses_and_a_full_disk_does_not_crash(self):
+    async def test_a_nearly_full_journal_refuses_and_a_full_disk_does_not_crash(self):
         o, large = self.owner(), self.hand_in("n", body=b"x" * 50_000)
         o.round([large])
         self.assertEqual(large.verdict.result()[0], Verdict.THROTTLED)
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -24,7 +24,7 @@
     return ReplicatedWork(owner, node, lambda *_: None, "serve", lives), adopted
 
 
-def test_one_whose_push_may_be_out_waits_until_its_keeper_would_have_given_it_up():
+def test_a_notification_with_a_push_in_flight_waits_until_its_owner_gives_the_push_up():
     async def play():
         loop = asyncio.get_running_loop()
         g, adopted = replicated(loop.time)
@@ -33,9 +33,11 @@
         shard.state, shard.acting = "leader", True
         for name, until in (("out", wall + 0.3), ("over", wall - 1.0), ("ended", wall + 9.0)):
             owed = Owed(name, wall + 20.0, 7, "again", "", "", "", b"x")
-            shard.contents.apply([record_codec.taken(owed), record_codec.pushed(owed, 0, wall - 2.0, until)])
+            shard.contents.apply([
+                record_codec.encode_taken(owed), record_codec.encode_push(owed, 0, wall - 2.0, until)
+            ])
         ended = Owed("ended", wall + 20.0, 7, "again", "", "", "", b"x")
-        shard.contents.apply([record_codec.ended(ended, 0, True)])
+        shard.contents.apply([record_codec.encode_outcome(ended, 0, True)])
         g.on_acts(shard)
         at_once = list(adopted)
         assert g.owner.ledger.owed["out"].open_pushes and g.owner.ledger.owed["out"].pushes == 1
@@ -48,7 +50,7 @@
     assert sorted(at_once) == sorted(before) == ["ended", "over"] and after[-1] == "out" and len(after) == 3
 
 
-def test_a_seat_that_is_lost_meanwhile_resumes_nothing():
+def test_nothing_is_resumed_if_the_shard_is_lost_meanwhile():
     async def play():
         loop = asyncio.get_running_loop()
         g, adopted = replicated(loop.time)
@@ -56,7 +58,9 @@
         shard = Shard(("r9", 1), ("r0",), "r0", 1.0, random.Random(1), 0.0)
         shard.state, shard.acting = "leader", True
         owed = Owed("out", wall + 20.0, 7, "again", "", "", "", b"x")
-        shard.contents.apply([record_codec.taken(owed), record_codec.pushed(owed, 0, wall, wall + 0.1)])
+        shard.contents.apply([
+            record_codec.encode_taken(owed), record_codec.encode_push(owed, 0, wall, wall + 0.1)
+        ])
         g.on_acts(shard)
         g.on_lost(shard)
         await asyncio.sleep(0.2)
@@ -65,6 +69,6 @@
     assert asyncio.run(play()) == ([], {})
 
 
-def test_the_effect_of_a_repeat_is_that_of_the_terms_it_was_taken_under():
+def test_the_effect_of_a_repeat_without_known_terms_is_once_only():
     owed = Owed("n", 1.0, 7, "no such topic", "", "", "", b"x")
     assert owed.effect(settings()) is interface.Effect.ONCE_ONLY
--- a/tests/test_races_left.py
+++ b/tests/test_races_left.py
@@ -75,7 +75,7 @@
     return Item(name, 0, 5.0, "k", body, None)
 
 
-def test_a_refusal_before_our_last_byte_says_never_ran_so_the_rest_must_not_go_out():
+def test_after_a_refusal_before_our_last_byte_the_rest_is_not_sent():
     """Stray or not. The library has written the body, of which the most is still with us."""
     body, made = b"b" * 60_000, EndpointConnection.connection_made
 
@@ -99,7 +99,7 @@
     asyncio.run(with_calls(story))
 
 
-def test_what_comes_behind_a_stray_answer_is_no_answer_to_the_next_call():
+def test_an_answer_behind_an_unexpected_one_does_not_answer_the_next_call():
     """After our last byte a stray 200 can't be told from an answer; the true one must not be the next's."""
 
     async def story(calls, listener, told):
@@ -132,7 +132,7 @@
     return made, told
 
 
-def test_a_kill_between_the_journals_push_and_the_first_byte_counts_as_a_push_that_may_have_run():
+def test_a_kill_between_the_push_record_and_the_first_byte_counts_as_a_push_that_may_have_run():
     listed = interface.ListUpdate((interface.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
 
     async def story(folder, left):
@@ -165,7 +165,7 @@
         asyncio.run(story(folder, left))
 
 
-def test_a_full_queue_of_connections_is_handed_over_whole():
+def test_a_full_accept_queue_is_handed_over_completely():
     """The process before takes none on: some wait in the queue, some at its door; no close resets any."""
 
     async def ask(address) -> bytes:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -25,14 +25,14 @@
 
 
 class Rules(unittest.TestCase):
-    def test_a_dropped_name_is_taken_for_a_while_under_its_old_rules(self):
+    def test_a_removed_topic_type_is_accepted_under_its_old_terms_for_a_grace_period(self):
         terms = Terms(tuned(AGAIN))
         terms.change(tuned(MERGE), 10.0)
         self.assertEqual((terms.of("again", 10.1)[0], terms.of("merge", 10.1)[0]), (AGAIN, MERGE))
         self.assertIsNone(terms.of("again", 10.0 + GRACE)[0])
         self.assertIsNone(terms.of("never", 10.1)[0])
 
-    def test_while_either_may_be_meant_the_stricter_holds(self):
+    def test_during_the_grace_period_the_stricter_terms_apply(self):
         for new, old in ((Effect.REPEATABLE, Effect.ONCE_ONLY), (Effect.ONCE_ONLY, Effect.REPEATABLE)):
             terms = Terms(tuned(replace(ONCE, effect=old), max_pushes=3))
             terms.change(tuned(replace(ONCE, effect=new), max_pushes=6), 10.0)
@@ -43,13 +43,13 @@
         self.assertEqual((stricter(MERGE, narrow).group, stricter(narrow, MERGE).window), ("zone", 4.0))
         self.assertEqual(stricter(AGAIN, narrow).window, 4.0)
 
-    def test_a_second_change_forgets_nothing_that_may_still_be_meant(self):
+    def test_a_second_change_keeps_terms_that_clients_may_still_use(self):
         terms = Terms(tuned(ONCE))
         terms.change(tuned(replace(ONCE, effect=Effect.REPEATABLE)), 10.0)
         terms.change(tuned(AGAIN), 11.0)
         self.assertEqual(terms.of("once", 11.5)[0].effect, Effect.ONCE_ONLY)
 
-    def test_the_module_keeps_what_a_notification_came_with(self):
+    def test_the_module_keeps_the_terms_a_notification_was_accepted_under(self):
         b = brain()
         b.round(1.0, [take("n", "once"), take("m", "again")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE), AGAIN, max_pushes=1, slots=20)
@@ -62,7 +62,7 @@
 
 
 class Whole(Folder, unittest.TestCase):
-    def test_what_is_missing_is_named(self):
+    def test_a_missing_key_is_named(self):
         old = {"a": {"b": 1, "c": None}, "rows": [{"effect": "x", "k": 1, "w": 2}, {"effect": "y", "k": 1}]}
         self.assertEqual(lacking(old, old), "")
         for new, key in (
@@ -73,7 +73,7 @@
         ):
             self.assertEqual(lacking(new, old), key)
 
-    def test_no_number_above_0_is_refused_at_a_start_too(self):
+    def test_a_value_that_is_no_positive_number_is_refused_at_the_start_too(self):
         row = {"name": "n", "effect": "safe", "targetMs": 1.0, "deadlineMs": 2.0}
         for bad in (0, -1, "9", None, True, [1], float("nan"), float("inf")):
             for change, key in (({"grades": [{**row, "deadlineMs": bad}]}, "deadlineMs"),
@@ -92,7 +92,7 @@
         message.ntf = replace(message.ntf, terms=terms, most=6)
         return message
 
-    async def test_a_restart_after_a_change_goes_by_the_old_rules(self):
+    async def test_a_restart_after_a_change_uses_the_old_terms(self):
         o = self.owner()
         o.round([self.hand_in("n", "once"), self.hand_in("m", "merge")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE))
@@ -118,7 +118,7 @@
         await self.until(("lb_loads_total", ()), taken)
         await self.until(("lb_load_errors_total", ()), turned_down)
 
-    async def test_a_bad_file_changes_nothing_and_a_good_one_all(self):
+    async def test_an_invalid_file_changes_nothing_and_a_valid_one_everything(self):
         path = f"{self.folder}/config.json"
         with open(path) as file:
             good = file.read()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
         self.addCleanup(folder.cleanup)
         self.folder, self.last = folder.name, None
 
-    def test_a_message_comes_back_as_it_was(self):
+    def test_a_notification_is_restored_unchanged(self):
         self.ledger().take(owed("n"))
         self.assertEqual(self.ledger().owed, {"n": owed("n", size=self.size(owed("n")))})
 
@@ -41,7 +41,7 @@
         back = self.ledger().owed["n"]
         self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, 41.0))
 
-    def test_a_push_that_never_ran_leaves_no_doubt_and_counts(self):
+    def test_a_push_that_never_ran_counts_but_cannot_have_run(self):
         first = self.ledger()
         first.take(owed("n"))
         first.push("n", 0, 41.0)
@@ -49,7 +49,7 @@
         back = self.ledger().owed["n"]
         self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, float("inf")))
 
-    def test_a_torn_tail_is_dropped_and_the_file_goes_on(self):
+    def test_a_torn_tail_is_dropped_and_appending_continues(self):
         first = self.ledger()
         first.take(owed("n"))
         whole = first.journal.size
@@ -82,14 +82,14 @@
         self.assertTrue(0 < most < 40_000)
         self.assertEqual(len(self.ledger(40_000).owed), 6)
 
-    def test_a_file_of_what_is_over_is_rewritten_long_before_it_is_full(self):
+    def test_a_file_of_dead_records_is_rewritten_long_before_it_is_full(self):
         kept = self.ledger(3_000_000)
         for i in range(2000):
             kept.take(owed(f"n{i}", b"x" * 200))
             kept.finish(f"n{i}")
         self.assertLess(kept.journal.size, 110_000)
 
-    def test_hardly_anything_dead_is_no_reason_to_write_all_anew_at_each_record(self):
+    def test_few_dead_bytes_do_not_cause_a_rewrite_per_record(self):
         """As when a process of an upgrade owes most of what half of the allowance holds: 807 were lost so."""
         ledger, written = self.ledger(1_000_000), []
         taken = sum(ledger.take(owed(f"n{n}", b"x" * 212)) for n in range(600))
@@ -102,7 +102,7 @@
         self.assertLess(ledger.journal.size, 500_000)
         self.assertEqual((len(self.ledger(1_000_000).owed), taken > 500), (taken, True))
 
-    def test_a_rewrite_keeps_doubt_order_and_notices(self):
+    def test_a_rewrite_keeps_push_history_order_and_notices(self):
         first = self.ledger()
         for name in "nmo":
             first.take(owed(name))
@@ -124,7 +124,7 @@
             taken += 1
         self.assertTrue(5 < taken < 20)
 
-    def test_a_record_cut_short_by_the_disk_leaves_no_trace(self):
+    def test_a_short_write_leaves_no_trace(self):
         kept = self.ledger()
         kept.take(owed("n"))
         file = kept.journal.file
@@ -134,7 +134,7 @@
         kept.take(owed("o"))
         self.assertEqual(list(self.ledger().owed), ["n", "o"])
 
-    def test_what_could_not_be_written_is_in_the_file_once_it_can(self):
+    def test_unwritten_facts_are_in_the_file_after_the_next_write(self):
         kept = self.ledger()
         kept.take(owed("n"))
         append, kept.journal.append = kept.journal.append, self.no_room
@@ -146,7 +146,7 @@
     def no_room(self, _):
         raise OSError("no space left")
 
-    def test_after_a_rewrite_the_file_goes_on_without_being_opened_again(self):
+    def test_appending_continues_after_a_rewrite_without_reopening(self):
         kept = self.ledger()
         kept.take(owed("n"))
         kept.journal.rewrite([p for o in kept.owed.values() for p in kept.records_of(o)])
@@ -155,7 +155,7 @@
         kept.take(owed("m"))
         self.assertEqual(list(self.ledger().owed), ["n", "m"])
 
-    def test_what_a_kill_left_of_a_rewrite_is_removed(self):
+    def test_an_unfinished_rewrite_is_removed_at_the_start(self):
         self.ledger().take(owed("n"))
         Path(self.folder, "owed.new").write_bytes(b"half")
         self.assertEqual(list(self.ledger().owed), ["n"])
@@ -178,13 +178,14 @@
         path.write_bytes(data)
         first.journal.close()
 
-    def test_within_the_file_puts_what_came_before_in_doubt_for_all_lives_to_come(self):
+    def test_damage_within_the_file_marks_earlier_notifications_as_possibly_run_at_every_start(self):
         self.damaged()
         for _ in range(2):
-            found = {name: owed.first_may_have_run_at() for name, owed in self.ledger().owed.items()}
-            self.assertEqual(found, {"n": 0.0})
+            self.assertEqual(
+                {name: one.first_may_have_run_at() for name, one in self.ledger().owed.items()}, {"n": 0.0}
+            )
 
-    def test_a_kill_or_a_full_disk_before_it_is_written_anew_finds_the_damage_again(self):
+    def test_damage_is_found_again_after_a_kill_or_a_full_disk_before_the_rewrite(self):
         self.damaged()
         read = Journal(self.folder, 100_000)
         read.read()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -41,7 +41,7 @@
             self.says.add(await self.ask("GET", "/_health"))
             await asyncio.sleep(0.01)
 
-    async def test_nobody_is_turned_away_and_a_third_takes_over_from_the_second(self):
+    async def test_no_client_is_refused_over_two_upgrades_in_a_row(self):
         seen, self.says = [], set()
         self.stop = False
         task = asyncio.ensure_future(self.steadily(seen))
@@ -60,7 +60,7 @@
         self.assertEqual(self.seen, len(seen))  # each once
         self.assertEqual([f for f in os.listdir(self.folder) if f.startswith("owed")], ["owed"])
 
-    async def test_the_old_one_killed_the_new_one_owes_what_it_owed(self):
+    async def test_if_the_old_process_is_killed_the_new_one_adopts_its_notifications(self):
         self.failing = http(429, X_Retry_In_Ms="2500")
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "n"}), TAKEN)
         first = await self.second()
@@ -72,7 +72,7 @@
         gaps = [later - before for before, later in zip(self.times, self.times[1:], strict=False)]
         self.assertGreater(min(gaps), 2.4)  # the wait holds for both of them
 
-    async def test_the_new_one_killed_the_old_one_serves_on_as_before(self):
+    async def test_if_the_new_process_is_killed_the_old_one_continues_to_serve(self):
         first = await self.second()
         for n in range(4):
             self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": f"n{n}"}), TAKEN)
@@ -86,7 +86,7 @@
         self.assertEqual(await asyncio.wait_for(again.wait(), 3.7), 0)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)
 
-    async def test_a_caller_that_speaks_nonsense_is_let_go_and_nothing_else_happens(self):
+    async def test_a_connection_with_invalid_messages_is_closed_without_other_effect(self):
         for word in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
             with socket.socket(socket.AF_UNIX) as caller:
                 caller.connect(f"{self.folder}/line")
@@ -97,7 +97,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual(await self.ask("GET", "/_health"), REFUSED)  # none of them is waited for
 
-    async def test_an_elder_that_tells_nonsense_is_no_reason_not_to_start(self):
+    async def test_a_predecessor_with_invalid_messages_does_not_prevent_a_start(self):
         self.process.kill()
         await self.process.wait()
         for word in (b'["learnt"]\n', b'["learnt",7,7]\n', b'["learnt",{"routes":7},[["a",[[1]]],4]]\n'):
@@ -114,7 +114,7 @@
             await self.process.wait()
             listener.close()
 
-    async def test_one_that_cannot_start_changes_nothing(self):
+    async def test_a_process_that_cannot_start_changes_nothing(self):
         path = f"{self.folder}/config.json"
         with open(path) as file:
             good = file.read()
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -39,7 +39,7 @@
 
 
 class WindingUp(Folder, unittest.IsolatedAsyncioTestCase):
-    async def test_no_push_is_decided_once_the_courier_closes_and_an_untried_one_stays_untried(self):
+    async def test_no_push_starts_once_the_dispatcher_closes_and_an_unsent_one_stays_unsent(self):
         for own_task in (False, True):
             self.setUp()
             path = config(self.folder, "127.0.0.1:1")
