--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -57,7 +57,7 @@
         if self.phase in REFUSED_IN[trigger]:
             return 409, TEXT, f"it is {self.phase}\n"
         if (self.phase, trigger) in PHASES:
-            await self.happen(trigger)
+            await self.transition(trigger)
         return 200, TEXT, f"{self.phase}\n"
 
     async def begin_drain(self) -> None:
@@ -72,17 +72,17 @@
     async def finish_drain_period(self) -> None:
         """End the drain period, unless a resume came first."""
         if self.phase == "emptying":
-            await self.happen("sent away long enough")
+            await self.transition("sent away long enough")
 
     async def close_idle_connections(self) -> None:
         """Effect: accept no more notifications and close the clients' idle connections."""
-        self.owner.emptied = True
+        self.owner.drained = True
         for listener in self.parts.listeners:
             listener.empty()
 
     async def resume(self) -> None:
         """Effect: serve clients again."""
         self.drain_timer.cancel()
-        self.owner.emptied = False
+        self.owner.drained = False
         for listener in self.parts.listeners:
             listener.resume()
--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -35,7 +35,7 @@
         if reason := self.refusal(message, retry_after):
             self.reject(message, reason, retry_after or 0.0)
             return None
-        self.fresh[message.ntf.id] = message
+        self.new_hand_ins[message.ntf.id] = message
         return message.ntf
 
     def refusal(self, message: HandIn, retry_after: float | None) -> Refusal | None:
@@ -44,11 +44,11 @@
         retry_after: seconds, where there are too few replicas; else None.
         """
         name = message.ntf.id
-        if name in self.ledger.owed or name in self.fresh:
+        if name in self.ledger.owed or name in self.new_hand_ins:
             return Refusal.ID_IN_USE
         if retry_after is not None:
             return Refusal.NO_REPLICAS
-        if self.emptied:
+        if self.drained:
             return Refusal.DRAINED
         if self.held_by_all_processes() >= self.settings.max_open:
             return Refusal.HOLD_FULL
@@ -58,7 +58,7 @@
 
     def held(self) -> int:
         """The number of open notifications of this process."""
-        return len(self.ledger.owed) + len(self.fresh)
+        return len(self.ledger.owed) + len(self.new_hand_ins)
 
     def held_by_all_processes(self) -> int:
         """The number of open notifications of all processes of this relay."""
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -30,7 +30,7 @@
         self.counts[result] += 1
         if detailed():
             event("ntf.ended", id=action.id, how=result, after=round(retry_after, 3))
-        message = self.fresh.pop(action.id, None)
+        message = self.new_hand_ins.pop(action.id, None)
         if message:
             self.ended[message.ntf.topic_type, result] += 1
             self.count_refusal(message, Refusal.DECIDED)
--- a/ryestack/lifecycle/loop_errors.py
+++ b/ryestack/lifecycle/loop_errors.py
@@ -5,7 +5,7 @@
 from ..observe.log import event, fault
 
 
-def tell(_: asyncio.AbstractEventLoop, context: dict) -> None:
+def handle_loop_error(_: asyncio.AbstractEventLoop, context: dict) -> None:
     """The loop's exception handler. A broken connection is expected; anything else is a fault of ours."""
     problem, message = context.get("exception"), context["message"]
     if isinstance(problem, OSError):
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -43,11 +43,13 @@
         self.notices: NoticeSink = None
         self.directory: Directory = None
         self.replication = Unreplicated()
-        self.emptied = False  # drained by an operator: no new notifications are accepted
+        self.drained = False  # drained by an operator: no new notifications are accepted
         self.counts = Counter()
         self.retries: Counter[str] = Counter()  # retried pushes by the result of the previous push
         self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and result
-        self.fresh: dict[str, HandIn] = {}  # hand-ins of the current round that are not in the journal yet
+        self.new_hand_ins: dict[
+            str, HandIn
+        ] = {}  # hand-ins of the current round that are not in the journal yet
 
     # -- the queue --------------------------------------------------------------------------------
 
@@ -104,7 +106,7 @@
 
     def round(self, events: list) -> None:
         """Give events to the module and carry out its actions."""
-        self.fresh = {}
+        self.new_hand_ins = {}
         inputs = [
             each
             for each in (self.HANDLERS.get(type(queued), _unchanged)(self, queued) for queued in events)
@@ -117,7 +119,7 @@
             actions[type(action)].append(action)
         for action in actions[interface.Throttle] + actions[interface.Expire]:
             self.end(action)
-        for message in self.fresh.values():
+        for message in self.new_hand_ins.values():
             self.take(message)
         for action in actions[interface.Cancel]:
             self.dispatcher.cancel(action.id, action.push)
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -48,7 +48,7 @@
         self.channels: set[Channel] = set()
         self.following: set[asyncio.Task] = set()
 
-    async def happen(self, trigger: str) -> None:
+    async def transition(self, trigger: str) -> None:
         """Make the transition that PHASES lists for this trigger; KeyError if there is none."""
         self.phase, effect = PHASES[self.phase, trigger]
         event("phase.changed", phase=self.phase, why=trigger)
@@ -60,25 +60,25 @@
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.stop_asked.set)
         loop.add_signal_handler(signal.SIGHUP, self.reread_asked.release)
-        await self.happen("begun")
-        await self.happen("recovered")
+        await self.transition("begun")
+        await self.transition("recovered")
         await self.until(self.stop_asked.wait())
         self.stop_at = self.clock()
         if self.succession.successor == "starting":  # its report that it serves may be on its way
             serves = asyncio.ensure_future(self.successor_serves.wait())
             await self.until(asyncio.wait([serves], timeout=SUCCESSOR_READY_TIMEOUT_S))
         if self.succession.relieved():
-            await self.happen("relieved")
+            await self.transition("relieved")
         else:
-            await self.happen("asked to stop")
+            await self.transition("asked to stop")
             await self.until(asyncio.sleep(ACCEPT_AFTER_STOP_S))
-            await self.happen("accepted long enough")
+            await self.transition("accepted long enough")
         while self.clock() < self.stop_at + STOP_DEADLINE_S and not (
             self.owner.settled() and not self.busy()
         ):
             await self.until(asyncio.sleep(POLL_INTERVAL_S))
-        await self.happen("settled" if self.owner.settled() else "time is short")
-        await self.happen("wound up")
+        await self.transition("settled" if self.owner.settled() else "time is short")
+        await self.transition("wound up")
 
     async def until(self, awaitable) -> None:
         """Wait for an awaitable; raises the error of a background task that ends before it."""
@@ -186,7 +186,7 @@
         while True:
             await self.reread_asked.acquire()  # counts signals, so that several together are not merged
             if (self.phase, "told to reread") in PHASES:  # otherwise the relay is about to exit
-                await self.happen("told to reread")
+                await self.transition("told to reread")
 
     async def reread(self) -> None:
         """Effect: reload the configuration file, completely or not at all.
--- a/ryestack/lifecycle/replication/incarnations.py
+++ b/ryestack/lifecycle/replication/incarnations.py
@@ -15,35 +15,35 @@
     process of this relay is running."""
 
     def __init__(self, folder: str, sole: bool):
-        self.path, self.before = Path(folder) / FILE_NAME, []
+        self.path, self.unfinished = Path(folder) / FILE_NAME, []
         try:
             saved = json.loads(self.path.read_bytes())
-            self.before = [int(life) for life in saved] if isinstance(saved, list) else []
+            self.unfinished = [int(life) for life in saved] if isinstance(saved, list) else []
             self.sole = sole  # the folder has recorded lives: its lock proves that they are over
         except (OSError, ValueError, TypeError):
             self.sole = False
-        self.life = max([int(time.time() * 1000), *(life + 1 for life in self.before)])
-        self.write([*self.before, self.life])
+        self.life = max([int(time.time() * 1000), *(life + 1 for life in self.unfinished)])
+        self.write([*self.unfinished, self.life])
 
-    def next(self, life: int) -> bool:
+    def begin_next(self, life: int) -> bool:
         """Continue as another life; returns False, without a change, if that cannot be written.
 
         If it were not written, the next start would not know that this life no longer owns its shard.
         """
         try:
-            self.write([*self.before, self.life, life])
+            self.write([*self.unfinished, self.life, life])
         except OSError:
             return False
-        self.before, self.life = [*self.before, self.life], life
+        self.unfinished, self.life = [*self.unfinished, self.life], life
         return True
 
-    def done(self, finished: set[int]) -> None:
+    def forget(self, finished: set[int]) -> None:
         """Forget lives without open notifications; if that cannot be written, it is tried again later."""
-        if finished & set(self.before):
-            left = [life for life in self.before if life not in finished]
+        if finished & set(self.unfinished):
+            left = [life for life in self.unfinished if life not in finished]
             with suppress(OSError):
                 self.write([*left, self.life])
-                self.before = left
+                self.unfinished = left
 
     def write(self, lives: list[int]) -> None:
         """Replace the file; raises OSError."""
--- a/ryestack/lifecycle/replication/replicated.py
+++ b/ryestack/lifecycle/replication/replicated.py
@@ -60,9 +60,9 @@
         """Claim the shards of earlier lives and drive the core, until cancelled."""
         # With several earlier lives it is unknown which of them a notification belongs to. In two shards it
         # would have two leaders, so only a single life's notifications are claimed.
-        ours = list(self.unclaimed.values()) if len(self.lives.before) == 1 else []
+        ours = list(self.unclaimed.values()) if len(self.lives.unfinished) == 1 else []
         journal = [record for owed in ours for record in record_codec.encode_all(owed)]
-        for life in self.lives.before:
+        for life in self.lives.unfinished:
             self.node.claim((self.node.terms.me, life), self.now(), journal)
         while True:
             self.tick()
@@ -224,9 +224,9 @@
         self.flush()
 
     def actionable(self, inherited: list) -> list:
-        own = [owed for owed in inherited if owed.unreplicated or not self.lives.before]
+        own = [owed for owed in inherited if owed.unreplicated or not self.lives.unfinished]
         self.unclaimed |= {owed.id: owed for owed in inherited if owed not in own}
         # True for notifications of a process that ended after its shard became ours.
-        if self.unclaimed and self.recovered_lives >= set(self.lives.before):
+        if self.unclaimed and self.recovered_lives >= set(self.lives.unfinished):
             self.on_known(self.node.own)
         return own
--- a/ryestack/lifecycle/replication/takeover.py
+++ b/ryestack/lifecycle/replication/takeover.py
@@ -49,7 +49,7 @@
         ]
         if shard.name[0] == self.node.terms.me:
             self.recovered_lives.add(shard.name[1])
-        if self.unclaimed and self.recovered_lives >= set(self.lives.before):
+        if self.unclaimed and self.recovered_lives >= set(self.lives.unfinished):
             replicated = {name for known in self.node.shards.values() for name in known.contents.items}
             missing += [name for name in self.unclaimed if name not in replicated]
         owed = [self.owner.ledger.owed[name] for name in missing if name in self.owner.ledger.owed]
@@ -57,7 +57,7 @@
             self.counts["went on"] += len(owed)
             self.resume_work(owed, shard if self.acts(shard) else self.node.own)
         if not self.unclaimed and self.recovered_lives:
-            self.lives.done(set(filter(self.is_shard_empty, self.recovered_lives)))
+            self.lives.forget(set(filter(self.is_shard_empty, self.recovered_lives)))
 
     def is_shard_empty(self, life: int) -> bool:
         """Whether the shard of that life of ours has no open notifications."""
@@ -115,7 +115,7 @@
 
     def renew(self) -> None:
         """Start a new life for new notifications once it can be written; they are not replicated before."""
-        if self.lives.next(self.node.life + 1):
+        if self.lives.begin_next(self.node.life + 1):
             self.renewal_pending = False
             self.node.renew(self.now())
 
--- a/ryestack/lifecycle/scope/destinations.py
+++ b/ryestack/lifecycle/scope/destinations.py
@@ -82,7 +82,7 @@
                 self.leaving[number] = (self.clock(), self.served.pop(number))
         return self._tell(rows, version)
 
-    def let_go(self, owed: Collection[int]) -> interface.ListUpdate:
+    def remove_drained(self, owed: Collection[int]) -> interface.ListUpdate:
         """Remove the endpoints of destinations that left the scope. owed: destinations of open notifications,
         which are kept."""
         rows: list[dict] = []
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -171,7 +171,7 @@
 
     def _let_go(self) -> None:
         if self.members.leaving:
-            update = self.members.let_go(self._owed())
+            update = self.members.remove_drained(self._owed())
             if update.endpoints:
                 self._publish([update])
                 self._save()
--- a/ryestack/lifecycle/service.py
+++ b/ryestack/lifecycle/service.py
@@ -12,7 +12,7 @@
 
 
 async def _serve(config: Config) -> None:
-    asyncio.get_running_loop().set_exception_handler(loop_errors.tell)
+    asyncio.get_running_loop().set_exception_handler(loop_errors.handle_loop_error)
     relay = Relay(config)
     try:
         await relay.run()
--- a/ryestack/lifecycle/terms.py
+++ b/ryestack/lifecycle/terms.py
@@ -6,7 +6,7 @@
 
 # Seconds after a reload in which a client may still use the old settings: clients follow 1.2 s later, and
 # requests sent before that take a moment.
-GRACE = 2.0
+GRACE_S = 2.0
 BY_STRICTNESS = (interface.Effect.REPEATABLE, interface.Effect.COLLAPSIBLE, interface.Effect.ONCE_ONLY)
 BY_REACH = ("cell", "zone", "all")  # groups that a repeat may reach, the narrowest first
 
@@ -37,11 +37,11 @@
         self.previous_max_pushes, self.until = self.max_pushes, 0.0
 
     def change(self, settings: interface.Settings, now: float) -> None:
-        """Put new settings in force; the old terms stay acceptable for GRACE seconds."""
+        """Put new settings in force; the old terms stay acceptable for GRACE_S seconds."""
         new = {topic.name: topic for topic in settings.topic_types}
-        current = {name: self.of(name, now)[0] for name in {*self.topics, *self.previous}}
+        current = {name: self.lookup(name, now)[0] for name in {*self.topics, *self.previous}}
         replaced = {name: topic for name, topic in current.items() if topic and new.get(name) != topic}
-        self.previous_max_pushes, self.until = self.max_pushes_at(now), now + GRACE
+        self.previous_max_pushes, self.until = self.max_pushes_at(now), now + GRACE_S
         self.previous = {name: (topic, self.until) for name, topic in replaced.items()}
         self.topics, self.max_pushes = new, settings.max_pushes
 
@@ -49,7 +49,7 @@
         """The maximum number of pushes of a notification handed in now."""
         return min(self.max_pushes, self.previous_max_pushes) if now < self.until else self.max_pushes
 
-    def of(self, name: str, now: float) -> tuple[interface.TopicType | None, int]:
+    def lookup(self, name: str, now: float) -> tuple[interface.TopicType | None, int]:
         """The terms and the maximum number of pushes of a notification handed in now; the terms are None if
         there is no such topic type."""
         new, (old, until) = self.topics.get(name), self.previous.get(name, (None, 0.0))
--- a/ryestack/store/remembered.py
+++ b/ryestack/store/remembered.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-NAME, FAILING = "learnt", "failing"
+LEARNT, FAILING = "learnt", "failing"
 # Bytes of the folder's allowance that each may take, with the replacement beside the old file.
-MAX_FILE_BYTES = {NAME: 256 * 1024, FAILING: 64 * 1024}
+MAX_FILE_BYTES = {LEARNT: 256 * 1024, FAILING: 64 * 1024}
 MAX_TOTAL_BYTES = sum(MAX_FILE_BYTES.values())
 OVERHEAD_BYTES, ROW_OVERHEAD_BYTES = 256, 32  # of the file without its rows, of a row without its name
 MAX_AGE_S = 60.0  # older state is ignored: an outage is remembered for one minute at most
@@ -48,7 +48,7 @@
 
 def save(folder: str, learnt: dict, under: str, now: Moment) -> None:
     """Save the learnt state, if it fits. under: a checksum of the settings that it belongs to."""
-    _write(folder, NAME, {"under": under, "clock": now.clock, "boot": now.boot, "learnt": learnt})
+    _write(folder, LEARNT, {"under": under, "clock": now.clock, "boot": now.boot, "learnt": learnt})
 
 
 def save_failing(folder: str, failing: dict[str, float], now: Moment) -> None:
@@ -65,7 +65,7 @@
 
 def load(folder: str, under: str, now: Moment) -> Remembered:
     """What the previous process had learnt; nothing if it is too old or of another boot or settings."""
-    full, latest = _read(folder, NAME, now), _read(folder, FAILING, now)
+    full, latest = _read(folder, LEARNT, now), _read(folder, FAILING, now)
     learnt = full.get("learnt") if full and full.get("under") == under else None
     learnt = learnt if isinstance(learnt, dict) else None
     if not latest or (learnt is not None and latest["clock"] < full["clock"]):
--- a/ryestack/wire/hand_in.py
+++ b/ryestack/wire/hand_in.py
@@ -9,7 +9,7 @@
 
 
 class HandInReader:
-    """terms: of(topic type, now) -> its terms and number of pushes, or None; customers: names, () for any."""
+    """terms: lookup(topic type, now) -> terms and number of pushes, or None; customers: names, () for any."""
 
     def __init__(self, terms, members, clock):
         self.terms, self.members, self.clock = terms, members, clock
@@ -22,7 +22,7 @@
         """
         now = self.clock()
         name = forms.token(headers.get("X-Request-Id", ""), "X-Request-Id")
-        topic, most = self.terms.of(headers.get("X-Class", ""), now)
+        topic, most = self.terms.lookup(headers.get("X-Class", ""), now)
         if topic is None:
             raise forms.BadForm("X-Class names no topic type")
         customer = headers.get("X-Tenant", "")
--- a/tests/test_blind_restart.py
+++ b/tests/test_blind_restart.py
@@ -21,8 +21,8 @@
         server, agent = await stand_in(lambda *_: http(503))
         path = config(self.folder, agent)
         relay = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
-        await relay.happen("begun")
-        await relay.happen("recovered")
+        await relay.transition("begun")
+        await relay.transition("recovered")
         owner = relay.owner
         owner.dispatcher.start = lambda endpoint, items: None
         saving = asyncio.ensure_future(relay.save_failing())
@@ -37,7 +37,7 @@
         saving.cancel()
         await relay.close()
         again = Relay(load({"LB_CONFIG": path, "LB_STATE": self.folder}))
-        await again.happen("begun")
+        await again.transition("begun")
         found = again.owner.brain.routes["a"].pacer.rate(again.clock())
         await again.close()
         server.close()
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -34,7 +34,7 @@
             relay.ledger.take(Owed(at, time.time() + 9.0, 7, "again", "c", "", "k", b"x"))
             relay.ledger.journal.close()
             relay.ledger.owed.clear()
-            happen = relay.happen
+            happen = relay.transition
 
             async def crossed(what, happen=happen, relay=relay, at=at):
                 if what == at:
@@ -43,7 +43,7 @@
                 await happen(what)
                 relay.stop_asked.set()
 
-            relay.happen = crossed
+            relay.transition = crossed
             async with asyncio.timeout(6.0):
                 await relay.run()
             self.assertEqual(relay.phase, "ended")
--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -18,7 +18,7 @@
 from ryestack.control.messages import Entry
 from ryestack.lab.trial import free_port
 from ryestack.lifecycle.scope.destinations import SETTLE_SECONDS, BadEntry, ScopedMembers, read_destination
-from ryestack.lifecycle.terms import GRACE
+from ryestack.lifecycle.terms import GRACE_S
 from ryestack.store import scope_file
 from ryestack.store.scope_file import SavedScope
 from ryestack.wire.server import REFUSED, TAKEN
@@ -137,7 +137,7 @@
         await self.applied(self.server.change(("setting/settings", "*", json.dumps(fresh).encode())))
         self.assertEqual(await self.hand_in("o", dest=8), TAKEN)
         process.send_signal(1)  # SIGHUP: the file has other settings, those of the control machines stay
-        await asyncio.sleep(GRACE + 0.3)  # for so long clients may mean the old ones
+        await asyncio.sleep(GRACE_S + 0.3)  # for so long clients may mean the old ones
         self.assertEqual(await self.hand_in("p", **{"X-Class": "fresh"}), TAKEN)
         await self.applied(self.server.change(("setting/settings", "*", None)))
         async with asyncio.timeout(10.0):  # the file's hold again; clients may mean the old ones for a while
@@ -217,12 +217,12 @@
     members.change([destination(7, "a:1"), destination(8, "a:1"), destination(9)], [], 1)
     assert not members.change([], ["destination/7", "destination/8", "destination/9"], 2).endpoints
     assert not any(map(members.has, (7, 8, 9))) and members.address("0@7") == "a:1"
-    assert not members.let_go({7}).endpoints  # a hand-in may be on its way to the ledger
+    assert not members.remove_drained({7}).endpoints  # a hand-in may be on its way to the ledger
     clock.now = SETTLE_SECONDS
-    assert listed(members.let_go({7})) == {"0@8": it.Listed.GONE}
+    assert listed(members.remove_drained({7})) == {"0@8": it.Listed.GONE}
     members.change([destination(7, "b:1")], [], 3)
     clock.now = 100.0
-    assert not members.let_go(set()).endpoints and members.has(7) and not members.leaving
+    assert not members.remove_drained(set()).endpoints and members.has(7) and not members.leaving
 
 
 @pytest.mark.parametrize(
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -106,10 +106,12 @@
     async def test_a_second_end_is_not_told(self):
         o = self.owner()
         o.round([self.hand_in("n")])
-        o.fresh = {}
+        o.new_hand_ins = {}
         for _ in range(2):
             o.end(it.Expire("n"))
-        self.assertEqual(([name for name, _ in self.told], o.invariants.counts[Rule.TWO_ENDS]), (["n"], 1))
+        self.assertEqual(
+            ([name for name, _ in self.sent_notices], o.invariants.counts[Rule.TWO_ENDS]), (["n"], 1)
+        )
 
     async def test_while_the_journal_fails_pushes_are_not_used_up(self):
         o, message = self.owner(max_pushes=2), self.hand_in("n")
@@ -121,7 +123,7 @@
             self.now += 0.1
             o.round([*o.take_queue(), it.Woken()])
         self.assertGreater(o.unsent[Unsent.NOT_WRITTEN], 5)
-        self.assertEqual((self.sent, self.told), ([("n", 0)], []))
+        self.assertEqual((self.sent, self.sent_notices), ([("n", 0)], []))
         o.ledger.push = real
         for _ in range(20):
             self.now += 0.1
@@ -138,7 +140,7 @@
             told.append(message.verdict.result()[0])
         self.assertEqual(told, [Verdict.TAKEN, Verdict.UNREADABLE, Verdict.THROTTLED])
         self.assertEqual(o.refused, {Refusal.ID_IN_USE: 1, Refusal.DECIDED: 1})
-        o.emptied = True
+        o.drained = True
         o.round([self.hand_in("o")])
         self.assertEqual(o.refused[Refusal.DRAINED], 1)
 
--- a/tests/test_notices_written.py
+++ b/tests/test_notices_written.py
@@ -26,28 +26,28 @@
         owner = self.owner()
         owner.round([self.hand_in("n")])
         with self.failing(owner):
-            owner.fresh = {}
+            owner.new_hand_ins = {}
             owner.end(interface.Throttle("n", 1.0))
             await asyncio.sleep(0.15)
-            self.assertEqual((self.told, owner.ledger.owed["n"].notice["state"]), ([], "returned"))
+            self.assertEqual((self.sent_notices, owner.ledger.owed["n"].notice["state"]), ([], "returned"))
             self.assertFalse(owner.settled())
         await asyncio.sleep(0.25)
-        self.assertEqual([name for name, _ in self.told], ["n"])
-        again = self.again(1.0)
-        self.assertEqual((self.sent, [name for name, _ in self.told]), ([], ["n"]))
+        self.assertEqual([name for name, _ in self.sent_notices], ["n"])
+        again = self.restarted(1.0)
+        self.assertEqual((self.sent, [name for name, _ in self.sent_notices]), ([], ["n"]))
         self.assertEqual(again.ledger.owed["n"].notice["state"], "returned")
 
     async def test_after_its_deadline_a_notice_is_sent_although_it_cannot_be_written(self):
         owner = self.owner()
         owner.round([self.hand_in("n", due=30.0)])
         with self.failing(owner):
-            owner.fresh = {}
+            owner.new_hand_ins = {}
             owner.end(interface.Expire("n"))
             await asyncio.sleep(0.15)
-            self.assertEqual(self.told, [])
+            self.assertEqual(self.sent_notices, [])
             self.now = 30.0
             await asyncio.sleep(0.25)
-            self.assertEqual([name for name, _ in self.told], ["n"])
+            self.assertEqual([name for name, _ in self.sent_notices], ["n"])
 
 
 class LocalFaults(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -24,11 +24,11 @@
         self.addCleanup(ledger.journal.close)
         made = Owner(settings(**more), 1, ledger, lambda: self.now, 1000.0)
         made.brain.round(0.0, [self.listed] if not ledger.owed else [])
-        self.sent, self.told, self.last = [], [], made
+        self.sent, self.sent_notices, self.last = [], [], made
         made.dispatcher = SimpleNamespace(forget=lambda: None)
         made.dispatcher.close_idle = made.dispatcher.cancel_unsent = lambda _: None
         made.dispatcher.start = lambda _, items: self.sent.extend((i.id, i.push) for i in items)
-        made.notices = SimpleNamespace(add=lambda name, notice: self.told.append((name, notice)))
+        made.notices = SimpleNamespace(add=lambda name, notice: self.sent_notices.append((name, notice)))
         return made
 
     def setUp(self):
@@ -42,7 +42,7 @@
         loop = asyncio.get_running_loop()
         return HandIn(take(name, topic, due), "", body, loop.create_future(), loop.create_future())
 
-    def again(self, after):
+    def restarted(self, after):
         """The same relay after a kill, so many seconds later."""
         self.now += after
         self.last.ledger.journal.close()
@@ -96,36 +96,38 @@
     async def test_an_immediate_final_answer_leaves_nothing_owed(self):
         o, message = self.owner(), self.hand_in("n", due=10.0)
         o.round([message])
-        self.assertEqual((message.verdict.result()[0], o.ledger.owed, self.told), (Verdict.THROTTLED, {}, []))
+        self.assertEqual(
+            (message.verdict.result()[0], o.ledger.owed, self.sent_notices), (Verdict.THROTTLED, {}, [])
+        )
 
     async def test_a_later_final_answer_is_a_notice_and_is_owed_until_delivered(self):
         o = self.owner()
         o.round([self.hand_in("n", "once")])
         o.round([interface.Outcome("n", 0, "a", Result.BROKEN)])
-        self.assertEqual(self.told, [("n", {"state": "failed"})])
-        again = self.again(1.0)
-        self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], []))
+        self.assertEqual(self.sent_notices, [("n", {"state": "failed"})])
+        again = self.restarted(1.0)
+        self.assertEqual((self.sent_notices, self.sent), ([("n", {"state": "failed"})], []))
         again.notices_delivered(["n"])
-        self.again(1.0)
-        self.assertEqual(self.told, [])
+        self.restarted(1.0)
+        self.assertEqual(self.sent_notices, [])
 
     async def test_after_a_kill_each_notification_is_decided_by_its_history(self):
         o = self.owner()
         o.round([self.hand_in("n", "once"), self.hand_in("m"), self.hand_in("o", "merge")])
         o.round([self.hand_in("p", "once", due=11.0), interface.Outcome("m", 0, "a", Result.DELIVERED)])
-        o = self.again(2.0)
-        self.assertEqual(sorted(self.told), [("n", {"state": "failed"}), ("p", {"state": "failed"})])
+        o = self.restarted(2.0)
+        self.assertEqual(sorted(self.sent_notices), [("n", {"state": "failed"}), ("p", {"state": "failed"})])
         self.assertEqual(self.sent, [("o", 1)])
         o.notices_delivered(["n", "p"])
-        self.again(6.0)
-        self.assertEqual(self.told, [("o", {"state": "returned"})])
+        self.restarted(6.0)
+        self.assertEqual(self.sent_notices, [("o", {"state": "returned"})])
 
     async def test_a_withdrawn_notification_is_forgotten(self):
         o = self.owner()
         o.round([self.hand_in("n")])
         o.round([interface.Withdrawn("n")])
-        self.again(1.0)
-        self.assertEqual((self.sent, self.told), ([], []))
+        self.restarted(1.0)
+        self.assertEqual((self.sent, self.sent_notices), ([], []))
 
     async def test_an_id_in_use_is_malformed_and_the_first_notification_stays(self):
         o, twice = self.owner(), self.hand_in("n")
--- a/tests/test_peers_config.py
+++ b/tests/test_peers_config.py
@@ -97,13 +97,13 @@
 def test_a_new_life_waits_for_room_on_the_disk_and_a_finished_one_is_asked_after_again(tmp_path):
     lives = Incarnations(str(tmp_path), True)
     first = lives.life
-    assert lives.next(first + 1) and lives.before == [first]
+    assert lives.begin_next(first + 1) and lives.unfinished == [first]
     lives.path = tmp_path / "none" / "lives"  # nothing can be written there
-    assert not lives.next(first + 2) and (lives.life, lives.before) == (first + 1, [first])
-    lives.done({first})
-    assert lives.before == [first]
+    assert not lives.begin_next(first + 2) and (lives.life, lives.unfinished) == (first + 1, [first])
+    lives.forget({first})
+    assert lives.unfinished == [first]
     again = Incarnations(str(tmp_path), True)
-    assert again.before == [first, first + 1] and again.life > first + 1 and again.sole
+    assert again.unfinished == [first, first + 1] and again.life > first + 1 and again.sole
 
 
 def test_old_lives_doubled_letters_and_a_second_relay_of_a_name_are_refused_and_a_folder_proves_it_is_none():
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -20,7 +20,7 @@
     owner = SimpleNamespace(clock=clock, wall=1000.0, ledger=ledger, settings=settings())
     owner.adopt, owner.pause = lambda owed: adopted.extend(o.id for o in owed), lambda names: None
     node = Node(Terms("c", "r0", {"r0": "a"}, 0, 1.0), 1, True, random.Random(1), clock())
-    lives = SimpleNamespace(before=[], done=lambda finished: None)
+    lives = SimpleNamespace(unfinished=[], forget=lambda finished: None)
     return ReplicatedWork(owner, node, lambda *_: None, "serve", lives), adopted
 
 
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -43,16 +43,16 @@
     "data", [b"", b"[]", b"{", b'{"clock":"x","wall":1,"learnt":{}}', b"[" * 100_000, b"\xff"]
 )
 def test_a_file_that_makes_no_sense_is_nothing(tmp_path, data):
-    for name in (remembered.NAME, remembered.FAILING):
+    for name in (remembered.LEARNT, remembered.FAILING):
         (tmp_path / name).write_bytes(data)
     assert remembered.load(str(tmp_path), "s", NOW) == remembered.Remembered(None, {})
 
 
 def test_a_damaged_file_is_nothing_though_it_reads_well(tmp_path):
     remembered.save(str(tmp_path), learned_state.export(Brain(settings(), 1)), "s", NOW)
-    good = (tmp_path / remembered.NAME).read_bytes()
+    good = (tmp_path / remembered.LEARNT).read_bytes()
     assert remembered.load(str(tmp_path), "s", SOON).learnt is not None
-    (tmp_path / remembered.NAME).write_bytes(good.replace(b'"bins":[', b'"bins":["x",', 1))
+    (tmp_path / remembered.LEARNT).write_bytes(good.replace(b'"bins":[', b'"bins":["x",', 1))
     assert remembered.load(str(tmp_path), "s", SOON).learnt is None
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,7 @@
 from ryestack import interface
 from ryestack.interface import Effect, Result
 from ryestack.lifecycle.config import BadConfig, load
-from ryestack.lifecycle.terms import GRACE, Terms, stricter
+from ryestack.lifecycle.terms import GRACE_S, Terms, stricter
 from ryestack.settings import lacking
 from ryestack.wire.server import MALFORMED, TAKEN
 
@@ -28,16 +28,16 @@
     def test_a_removed_topic_type_is_accepted_under_its_old_terms_for_a_grace_period(self):
         terms = Terms(tuned(AGAIN))
         terms.change(tuned(MERGE), 10.0)
-        self.assertEqual((terms.of("again", 10.1)[0], terms.of("merge", 10.1)[0]), (AGAIN, MERGE))
-        self.assertIsNone(terms.of("again", 10.0 + GRACE)[0])
-        self.assertIsNone(terms.of("never", 10.1)[0])
+        self.assertEqual((terms.lookup("again", 10.1)[0], terms.lookup("merge", 10.1)[0]), (AGAIN, MERGE))
+        self.assertIsNone(terms.lookup("again", 10.0 + GRACE_S)[0])
+        self.assertIsNone(terms.lookup("never", 10.1)[0])
 
     def test_during_the_grace_period_the_stricter_terms_apply(self):
         for new, old in ((Effect.REPEATABLE, Effect.ONCE_ONLY), (Effect.ONCE_ONLY, Effect.REPEATABLE)):
             terms = Terms(tuned(replace(ONCE, effect=old), max_pushes=3))
             terms.change(tuned(replace(ONCE, effect=new), max_pushes=6), 10.0)
             for now, effect, most in ((11.0, Effect.ONCE_ONLY, 3), (12.0, new, 6)):
-                topic, pushes_left = terms.of("once", now)
+                topic, pushes_left = terms.lookup("once", now)
                 self.assertEqual((topic.effect, pushes_left), (effect, most))
         narrow = replace(MERGE, group="zone", window=4.0)
         self.assertEqual((stricter(MERGE, narrow).group, stricter(narrow, MERGE).window), ("zone", 4.0))
@@ -47,7 +47,7 @@
         terms = Terms(tuned(ONCE))
         terms.change(tuned(replace(ONCE, effect=Effect.REPEATABLE)), 10.0)
         terms.change(tuned(AGAIN), 11.0)
-        self.assertEqual(terms.of("once", 11.5)[0].effect, Effect.ONCE_ONLY)
+        self.assertEqual(terms.lookup("once", 11.5)[0].effect, Effect.ONCE_ONLY)
 
     def test_the_module_keeps_the_terms_a_notification_was_accepted_under(self):
         b = brain()
@@ -103,7 +103,7 @@
         made.recover([self.listed])
         self.now += 0.1
         made.round([*made.take_queue(), interface.Woken()])
-        self.assertEqual((self.told, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
+        self.assertEqual((self.sent_notices, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
         made.ledger.rewrite()
         made.ledger.journal.close()
         again = self.owner().ledger.owed["m"].terms
@@ -139,7 +139,7 @@
         await self.hup(1, turned_down)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "fresh"}), TAKEN)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)  # told as before
-        await asyncio.sleep(GRACE)
+        await asyncio.sleep(GRACE_S)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), MALFORMED)
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -73,7 +73,7 @@
 class LoopErrors(unittest.IsolatedAsyncioTestCase):
     async def test_a_connection_that_breaks_in_the_librarys_hands_is_no_fault_of_ours(self):
         loop, lines = asyncio.get_running_loop(), []
-        loop.set_exception_handler(loop_errors.tell)
+        loop.set_exception_handler(loop_errors.handle_loop_error)
         log.setup("r", level="DEBUG", sink=lines.append)
         self.addCleanup(log.setup)
 
