--- a/ryestack/lifecycle/admin.py
+++ b/ryestack/lifecycle/admin.py
@@ -32,8 +32,8 @@
             "in_progress": owner.in_progress(),
             "known_endpoints": len(listed),
             "skipped_endpoints": len(owner.brain.avoided(listed)),
-            "loads_total": self.loads["taken"],
-            "load_errors_total": self.loads["turned down"],
+            "loads_total": self.loads["accepted"],
+            "load_errors_total": self.loads["rejected"],
         }
         if parts.control:
             values |= parts.control.figures()
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -40,13 +40,13 @@
         self.ledger, self.owner = self.parts.ledger, self.parts.owner
         if self.parts.control:
             self.parts.control.bind(self.read_control_settings, self.take_control_settings)
-        self.tasks, self.stop_asked, self.stop_at = [], asyncio.Event(), 0.0
-        self.reread_asked = asyncio.Semaphore(0)
+        self.tasks, self.stop_requested, self.stop_at = [], asyncio.Event(), 0.0
+        self.reload_requested = asyncio.Semaphore(0)
         self.loads = Counter()
         self.staff, self.drain_timer = None, None
         self.adoption_requested, self.successor_serves = asyncio.Event(), asyncio.Event()
         self.channels: set[Channel] = set()
-        self.following: set[asyncio.Task] = set()
+        self.listening_tasks: set[asyncio.Task] = set()
 
     async def transition(self, trigger: str) -> None:
         """Make the transition that PHASES lists for this trigger; KeyError if there is none."""
@@ -58,29 +58,29 @@
         """Run from start to exit; raises if one of the background tasks fails."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(signal_number, self.stop_asked.set)
-        loop.add_signal_handler(signal.SIGHUP, self.reread_asked.release)
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_requested.release)
         await self.transition("begun")
         await self.transition("recovered")
-        await self.until(self.stop_asked.wait())
+        await self.wait_for(self.stop_requested.wait())
         self.stop_at = self.clock()
         if self.succession.successor == "starting":  # its report that it serves may be on its way
             serves = asyncio.ensure_future(self.successor_serves.wait())
-            await self.until(asyncio.wait([serves], timeout=SUCCESSOR_READY_TIMEOUT_S))
+            await self.wait_for(asyncio.wait([serves], timeout=SUCCESSOR_READY_TIMEOUT_S))
         if self.succession.relieved():
             await self.transition("relieved")
         else:
             await self.transition("asked to stop")
-            await self.until(asyncio.sleep(ACCEPT_AFTER_STOP_S))
+            await self.wait_for(asyncio.sleep(ACCEPT_AFTER_STOP_S))
             await self.transition("accepted long enough")
         while self.clock() < self.stop_at + STOP_DEADLINE_S and not (
-            self.owner.settled() and not self.busy()
+            self.owner.settled() and not self.has_open_requests()
         ):
-            await self.until(asyncio.sleep(POLL_INTERVAL_S))
+            await self.wait_for(asyncio.sleep(POLL_INTERVAL_S))
         await self.transition("settled" if self.owner.settled() else "time is short")
         await self.transition("wound up")
 
-    async def until(self, awaitable) -> None:
+    async def wait_for(self, awaitable) -> None:
         """Wait for an awaitable; raises the error of a background task that ends before it."""
         waiting = asyncio.ensure_future(awaitable)
         await asyncio.wait([waiting, *self.tasks], return_when=asyncio.FIRST_COMPLETED)
@@ -89,7 +89,7 @@
                 task.result()
         await waiting
 
-    def busy(self) -> bool:
+    def has_open_requests(self) -> bool:
         """Whether requests are in progress; while stopping, also whether connections are open, since an exit
         resets what is in transit on them."""
         leaving = self.phase not in READY
@@ -154,7 +154,7 @@
             self.owner.round(self.owner.take_queue())
         # If this phase starts late, the time for the last notices is shorter.
         until = min(self.clock(), self.stop_at + STOP_DEADLINE_S) + FINAL_NOTICES_S
-        while self.clock() < until and (self.parts.notices.waiting() or self.busy()):
+        while self.clock() < until and (self.parts.notices.waiting() or self.has_open_requests()):
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def end(self) -> None:
@@ -169,7 +169,7 @@
         if self.staff:
             await self.staff.close()
         self.channel_listener.close()
-        for task in self.following:
+        for task in self.listening_tasks:
             task.cancel()
         for channel in self.channels:
             channel.close()
@@ -184,7 +184,7 @@
     async def reread_on_signal(self) -> None:
         """Reload the configuration once per SIGHUP, until cancelled."""
         while True:
-            await self.reread_asked.acquire()  # counts signals, so that several together are not merged
+            await self.reload_requested.acquire()  # counts signals, so that several together are not merged
             if (self.phase, "told to reread") in PHASES:  # otherwise the relay is about to exit
                 await self.transition("told to reread")
 
@@ -198,10 +198,10 @@
             reread = load(before=self.config)
             settings = self.settings_after(reread)
         except BadConfig as bad:
-            self.loads["turned down"] += 1
+            self.loads["rejected"] += 1
             event("config.kept", why=str(bad))
             return
-        self.loads["taken"] += 1
+        self.loads["accepted"] += 1
         if self.parts.platform.move(reread.discovery):
             event("platform.moved", address=reread.discovery)
         self.take_settings(settings)
--- a/ryestack/lifecycle/replication/peering.py
+++ b/ryestack/lifecycle/replication/peering.py
@@ -13,7 +13,8 @@
 from .incarnations import Incarnations
 from .replicated import ReplicatedWork
 
-# A relay that lost its folder is refused for one lease, until its name has been silent that long.
+# Refusals count as a conflict of names after this many leases. A relay that lost its folder is refused for
+# one lease, until its name has been silent that long.
 NAME_CONFLICT_LEASES = 3
 
 
@@ -52,11 +53,12 @@
         if self.listener.sock is not None:
             self.client.send(to, envelope)
 
-    def refused(self, why: str) -> None:
-        """A name belongs to one relay: a later one that cannot prove that the other has ended, exits."""
+    def refused(self, reason: str) -> None:
+        """A peer refused us. A name belongs to one relay: a later one that cannot prove that the other has
+        ended, exits."""
         late = self.replication.now() > self.began + NAME_CONFLICT_LEASES * self.peers.lease
-        if why == TWIN and late and not self.replication.has_acted and not self.name_conflict.done():
-            self.name_conflict.set_result(why)
+        if reason == TWIN and late and not self.replication.has_acted and not self.name_conflict.done():
+            self.name_conflict.set_result(reason)
 
     def bind(self) -> None:
         """Bind the peers' address; raises BadConfig."""
@@ -89,5 +91,6 @@
             running.cancel()
 
     async def close(self) -> None:
+        """Close the sockets."""
         await self.listener.close()
         await self.client.close()
--- a/ryestack/lifecycle/starting.py
+++ b/ryestack/lifecycle/starting.py
@@ -41,7 +41,7 @@
                 self.ledger.recover()
                 break
             except OSError as problem:
-                if isinstance(problem, AllFilesLocked) or self.stop_asked.is_set():
+                if isinstance(problem, AllFilesLocked) or self.stop_requested.is_set():
                     raise
                 event("journal.blocked", why=str(problem))
             await asyncio.sleep(FOLDER_RETRY_S)
--- a/ryestack/lifecycle/upgrade/handover.py
+++ b/ryestack/lifecycle/upgrade/handover.py
@@ -33,8 +33,8 @@
     def start_listening(self, channel: Channel, relation) -> None:
         """Start a task that handles a channel. relation: Succession.on_predecessor or on_successor."""
         task = asyncio.ensure_future(self.listen(channel, relation))
-        self.following.add(task)
-        task.add_done_callback(self.following.discard)
+        self.listening_tasks.add(task)
+        task.add_done_callback(self.listening_tasks.discard)
 
     async def listen(self, channel: Channel, relation) -> None:
         """Handle a channel until the other process is gone, which any error counts as.
--- a/ryestack/lifecycle/upgrade/siblings.py
+++ b/ryestack/lifecycle/upgrade/siblings.py
@@ -77,10 +77,12 @@
         self.put([interface.Overheard(endpoint, pushes)])
 
     def on_ended(self, channel, name, push, endpoint, result, *facts) -> None:
+        """A sibling's push ended."""
         fields = dict(zip(OUTCOME_FIELDS, facts, strict=True))
         self.put([RemoteEvent(interface.Outcome(name, push, endpoint, Result(result), **fields))])
 
     def on_turn(self, channel, key, name, over, rest_until) -> None:
+        """A sibling accepted a notification with an order key, or has ended it (over)."""
         self.key_holders[key, name] = channel
         if over:
             del self.key_holders[key, name]
@@ -88,9 +90,11 @@
             self.put([interface.Turn(key, name, over, rest_until)])
 
     def on_wait(self, channel, endpoint, seconds, *_) -> None:
+        """An endpoint gave a sibling a retry delay."""
         self.put([RemoteEvent(interface.WaitTold(str(endpoint), float(seconds)))])
 
     def on_holds(self, channel, count, *_) -> None:
+        """The number of a sibling's open notifications."""
         self.held_by_sibling[channel] = int(count)
 
     MESSAGE_HANDLERS = {
--- a/ryestack/store/remembered.py
+++ b/ryestack/store/remembered.py
@@ -33,7 +33,7 @@
     boot: str
 
     def is_soon_after(self, before: "Moment") -> bool:
-        """Whether `before` is at most MAX_AGE_S earlier, in the same boot."""
+        """Whether `before` is less than MAX_AGE_S earlier, in the same boot."""
         return self.boot == before.boot and 0.0 <= self.clock - before.clock < MAX_AGE_S
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Chance in tests: the same examples each time, and no verdict from how fast the machine is.
+"""Configuration of pytest: deterministic Hypothesis examples without deadlines, and known failures.
 
-Faults that are known and not mended yet stand in KNOWN-RED.txt at the root, a line each with bars between:
-test, cause, issue. Just these are expected to fail; one that passes fails the run, so its line is taken out.
+KNOWN-RED.txt at the root lists tests of known faults that are not fixed yet, one per line: test | cause |
+issue. Only these are expected to fail. One that passes fails the run, so that its line gets removed.
 """
 
 from pathlib import Path
@@ -12,32 +12,32 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None, print_blob=False)
 settings.load_profile("same")
 
-MOST = 3
-FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
-def known_red() -> dict[str, str]:
-    """Test to why it fails."""
+def known_failures() -> dict[str, str]:
+    """Test id to the cause of its failure; raises UsageError."""
     found = {}
-    for line in FILE.read_text().splitlines() if FILE.exists() else ():
+    for line in KNOWN_FAILURES_FILE.read_text().splitlines() if KNOWN_FAILURES_FILE.exists() else ():
         if not line.strip():
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"KNOWN-RED.txt: {line!r} is not test | cause | issue")
         found[parts[0]] = f"{parts[1]} ({parts[2]})"
-    if len(found) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt holds {len(found)} tests, {MOST} at most")
+    if len(found) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"KNOWN-RED.txt holds {len(found)} tests, {MAX_KNOWN_FAILURES} at most")
     return found
 
 
 def pytest_collection_modifyitems(items):
-    red = known_red()
+    failures = known_failures()
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=True))
+        if item.nodeid in failures:
+            item.add_marker(pytest.mark.xfail(reason=failures[item.nodeid], strict=True))
 
 
 def pytest_terminal_summary(terminalreporter):
-    for name, why in known_red().items():
-        terminalreporter.write_line(f"known red: {name}: {why}")
+    for name, cause in known_failures().items():
+        terminalreporter.write_line(f"known red: {name}: {cause}")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests build: settings, a brain with one destination, events; stand-ins on loopback."""
+"""Builders for tests: settings, a decision module with one destination, events, and servers on loopback."""
 
 import asyncio
 import json
@@ -21,46 +21,55 @@
 
 
 def settings(**more):
+    """Settings with the topic types of TOPICS."""
     base = {"slots": 12, "max_open": 100, "max_pushes": 6, "max_come_back": 2.0}
     return interface.Settings(TOPICS, KINDS, RULES, **{**base, **more})
 
 
 def brain(kind="shared", routes=("a", "b"), rate=50.0, made=Brain, **more):
-    made = made(settings(**more), 1)
-    listed = tuple(interface.Endpoint(r, "z", kind, 7, rate=rate) for r in routes)
-    made.round(0.0, [interface.ListUpdate(listed, whole=True)])
-    return made
+    """A decision module of class `made` that knows destination 7 with these routes."""
+    module = made(settings(**more), 1)
+    endpoints = tuple(interface.Endpoint(route, "z", kind, 7, rate=rate) for route in routes)
+    module.round(0.0, [interface.ListUpdate(endpoints, whole=True)])
+    return module
 
 
 def take(name, topic="again", due=20.0, key="", **history):
+    """The event of a notification to destination 7."""
     return interface.Notification(name, due, 7, topic, key=key, **history)
 
 
 def end(name, endpoint, result, push=0, **more):
+    """The event of a push's outcome, after 0.1 s."""
     return interface.Outcome(name, push, endpoint, result, 0.1, **more)
 
 
 def pushes(actions):
-    return [(a.id, a.endpoint) for a in actions if isinstance(a, interface.Push)]
+    """(id, endpoint) of each push among the actions."""
+    return [(action.id, action.endpoint) for action in actions if isinstance(action, interface.Push)]
 
 
 def kinds(actions, kind):
-    return [a.id for a in actions if isinstance(a, kind)]
+    """The ids of the actions of a class."""
+    return [action.id for action in actions if isinstance(action, kind)]
 
 
 def listed(address="127.0.0.1:9", kind="shared", index=1):
+    """An endpoint list with one endpoint of destination 7, as the registry sends it."""
     row = {"name": "a", "address": address, "zone": "z", "type": kind, "group": 7, "status": "up"}
     return {"index": index, "snapshot": True, "endpoints": [{**row, "weight": 50.0}]}
 
 
 def members(**row):
-    made = Members()
-    made.learn(listed(**row))
-    return made
+    """Members with the list that `listed` gives."""
+    known = Members()
+    known.learn(listed(**row))
+    return known
 
 
 async def stand_in(answer):
-    """A server on loopback that meets each request with answer(head, body) -> bytes, or breaks off on None.
+    """A server on loopback that answers each request with answer(head, body) -> bytes, and closes the
+    connection on None.
 
     Returns the server and its address.
     """
@@ -69,12 +78,12 @@
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                length = [h for h in head.lower().split(b"\r\n") if h.startswith(b"content-length:")]
+                length = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
                 body = await reader.readexactly(int(length[0].split(b":")[1]) if length else 0)
-                said = answer(head, body)
-                if said is None:
+                response = answer(head, body)
+                if response is None:
                     break
-                writer.write(said)
+                writer.write(response)
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
@@ -86,33 +95,41 @@
 
 
 def http(status, body=b"", **headers):
-    lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
+    """The bytes of an HTTP response."""
+    lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"HTTP/1.1 {status} x\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
 async def called(answer, names=("n",), kind="shared", timeout=1.0, address=None):
-    """The outcomes of one turn's messages at a stand-in, and what it was sent."""
-    seen, told = [], asyncio.Queue()
+    """Push notifications in one round to a server that answers so; returns the outcomes and the requests."""
+    requests, events = [], asyncio.Queue()
 
-    def note(head, body):
-        seen.append((head, body))
+    def record(head, body):
+        requests.append((head, body))
         return answer(head, body)
 
-    server, here = await stand_in(note)
-    at = members(address=address or here, kind=kind)
-    calls = Calls(settings(connection_idle=5.0), at, asyncio.get_running_loop().time, told.put_nowait, 50)
+    server, here = await stand_in(record)
+    known = members(address=address or here, kind=kind)
+    calls = Calls(
+        settings(connection_idle=5.0), known, asyncio.get_running_loop().time, events.put_nowait, 50
+    )
     calls.start("a", [Item(name, 0, timeout, f"k{name}", b"body\r\n", None) for name in names])
     outcomes = []
     while len(outcomes) < len(names):
-        outcomes += [o for o in await asyncio.wait_for(told.get(), 5.0) if isinstance(o, interface.Outcome)]
+        outcomes += [
+            each for each in await asyncio.wait_for(events.get(), 5.0) if isinstance(each, interface.Outcome)
+        ]
     await calls.close()
     server.close()
-    return outcomes, seen
+    return outcomes, requests
 
 
 def config(state, discovery, change=None, **more):
-    """A configuration as the platform writes it, in the folder state; change: of its settings."""
-    told = {
+    """Write a configuration as the platform writes it to the folder `state`; returns its path.
+
+    change: replaces settings; more: replaces top-level keys.
+    """
+    document = {
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
         "known": listed(),
@@ -128,14 +145,16 @@
         },
         **more,
     }
-    told["settings"] = {**told["settings"], **(change or {})}
+    document["settings"] = {**document["settings"], **(change or {})}
     path = f"{state}/config.json"
     with open(path, "w") as file:
-        json.dump(told, file)
+        json.dump(document, file)
     return path
 
 
 class Folder:
+    """A test case with a temporary folder."""
+
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/test_adoption.py
+++ b/tests/test_adoption.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay: whose journal is whose, what is told and overheard, turns."""
+"""Two processes of one relay: adoption of journals, learnt state, the other's calls, order by key."""
 
 import json
 import os
@@ -93,11 +93,13 @@
         self.assertEqual(self.process().owed["n"].first_may_have_run_at(), 0.0)
 
 
-class Told(unittest.TestCase):
+class LearntState(unittest.TestCase):
+    """The learnt state that a process sends to its successor."""
+
     def successor(self, predecessor, **more):
-        made = brain(**more)
-        learned_state.restore(made, json.loads(json.dumps(learned_state.export(predecessor))))
-        return made
+        successor = brain(**more)
+        learned_state.restore(successor, json.loads(json.dumps(learned_state.export(predecessor))))
+        return successor
 
     def test_retry_delays_circuits_and_outages_are_restored(self):
         predecessor = brain(routes=("a", "b", "c"))
@@ -128,65 +130,67 @@
         self.assertLess(successor.routes["a"].pacer.rate(1.0), other.routes["a"].pacer.rate(1.0))
 
 
-class Overheard(unittest.TestCase):
+class SiblingCalls(unittest.TestCase):
+    """The calls of another process, as the decision module counts them."""
+
     def call(self, *names, endpoint="a"):
         return interface.Overheard(endpoint, tuple(
             (name, 0, interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0)) for name in names
         ))
 
     def test_a_siblings_calls_use_our_slots_and_release_them(self):
-        b = brain(routes=("a",), slots=4, rate=1000.0)
-        b.round(1.0, [self.call("x"), self.call("y"), self.call("z")])
-        self.assertEqual(b.slots, 1)
-        self.assertEqual(pushes(b.round(1.1, [take("n"), take("m")])), [])  # three are its share
-        b.round(1.2, [end(name, "a", Result.DELIVERED) for name in "xyz"])
-        self.assertEqual((len(b.held), b.slots, len(b.out)), (2, 2, 2))
+        module = brain(routes=("a",), slots=4, rate=1000.0)
+        module.round(1.0, [self.call("x"), self.call("y"), self.call("z")])
+        self.assertEqual(module.slots, 1)
+        self.assertEqual(pushes(module.round(1.1, [take("n"), take("m")])), [])  # its share is three slots
+        module.round(1.2, [end(name, "a", Result.DELIVERED) for name in "xyz"])
+        self.assertEqual((len(module.held), module.slots, len(module.out)), (2, 2, 2))
 
     def test_a_siblings_batch_is_one_call_and_no_push_of_ours_joins_it(self):
-        b = brain(kind="bulk")
-        acts = b.round(1.0, [self.call(*"xyz"), take("n")])
-        self.assertEqual((pushes(acts), b.slots), ([("n", "a")], 10))
+        module = brain(kind="bulk")
+        actions = module.round(1.0, [self.call(*"xyz"), take("n")])
+        self.assertEqual((pushes(actions), module.slots), ([("n", "a")], 10))
 
     def test_a_siblings_failures_open_our_circuit_and_its_calls_are_not_cancelled(self):
-        b = brain(routes=("a",), slots=4, may_cancel=True)
-        b.round(1.0, [self.call(name) for name in "xyz"])
+        module = brain(routes=("a",), slots=4, may_cancel=True)
+        module.round(1.0, [self.call(name) for name in "xyz"])
         for now in (3.0, 6.0, 9.0):
-            acts = b.round(now, [interface.Woken(), take(f"n{now}")])
-            theirs = [call for call in b.late if call.items[0][0].state == "afar"]
-            self.assertEqual((kinds(acts, interface.Cancel), theirs), ([], []))
-            self.assertNotEqual(b.routes["a"].state, "closed")
+            actions = module.round(now, [interface.Woken(), take(f"n{now}")])
+            theirs = [call for call in module.late if call.items[0][0].state == "afar"]
+            self.assertEqual((kinds(actions, interface.Cancel), theirs), ([], []))
+            self.assertNotEqual(module.routes["a"].state, "closed")
 
     def test_a_call_to_an_unknown_endpoint_is_ignored(self):
-        b = brain()
-        b.round(1.0, [self.call("x", endpoint="unknown"), end("x", "unknown", Result.ERROR)])
-        self.assertEqual(b.slots, 12)
+        module = brain()
+        module.round(1.0, [self.call("x", endpoint="unknown"), end("x", "unknown", Result.ERROR)])
+        self.assertEqual(module.slots, 12)
 
 
-class Turns(unittest.TestCase):
-    """Order by key over two processes."""
+class KeyOrder(unittest.TestCase):
+    """Order by key across two processes."""
 
     def test_a_notification_waits_for_earlier_ones_of_its_key_and_an_adopted_one_keeps_its_place(self):
-        b = brain()
-        b.round(1.0, [interface.Turn("k", "old", False), interface.Turn("k", "older", False)])
-        self.assertEqual(pushes(b.round(1.1, [take("n", "turns", key="k")])), [])
-        self.assertEqual(pushes(b.round(1.2, [interface.Turn("k", "old", True, rest=1.5)])), [])
-        acts = b.round(1.3, [take("older", "turns", key="k")])  # adopted
-        self.assertEqual(pushes(acts + b.round(1.5, [interface.Woken()])), [("older", "a")])
-        self.assertEqual(pushes(b.round(1.6, [end("older", "a", Result.DELIVERED)])), [("n", "a")])
-        b.round(1.7, [end("n", "a", Result.DELIVERED)])
-        b.round(9.0, [interface.Woken()])
-        self.assertEqual(b.keys, {})
+        module = brain()
+        module.round(1.0, [interface.Turn("k", "old", False), interface.Turn("k", "older", False)])
+        self.assertEqual(pushes(module.round(1.1, [take("n", "turns", key="k")])), [])
+        self.assertEqual(pushes(module.round(1.2, [interface.Turn("k", "old", True, rest=1.5)])), [])
+        actions = module.round(1.3, [take("older", "turns", key="k")])  # adopted
+        self.assertEqual(pushes(actions + module.round(1.5, [interface.Woken()])), [("older", "a")])
+        self.assertEqual(pushes(module.round(1.6, [end("older", "a", Result.DELIVERED)])), [("n", "a")])
+        module.round(1.7, [end("n", "a", Result.DELIVERED)])
+        module.round(9.0, [interface.Woken()])
+        self.assertEqual(module.keys, {})
 
     def test_key_order_messages_are_sent_once_and_not_echoed(self):
-        said, b = [], Watched(settings(), 1)
-        b.told_turn = lambda *word: said.append(word[:3])
-        b.round(0.0, [
+        sent, module = [], Watched(settings(), 1)
+        module.told_turn = lambda *message: sent.append(message[:3])
+        module.round(0.0, [
             interface.ListUpdate((interface.Endpoint("a", "z", "shared", 7, rate=50.0),), whole=True)
         ])
-        b.round(1.0, [take("n", "turns", key="k"), interface.Turn("k", "x", False)])
-        self.assertEqual([turn[:3] for turn in b.turns()], [("k", "n", False), ("k", "x", False)])
-        b.round(1.1, [end("n", "a", Result.DELIVERED), interface.Turn("k", "x", True)])
-        self.assertEqual(said, [("k", "n", False), ("k", "n", True)])
+        module.round(1.0, [take("n", "turns", key="k"), interface.Turn("k", "x", False)])
+        self.assertEqual([turn[:3] for turn in module.turns()], [("k", "n", False), ("k", "x", False)])
+        module.round(1.1, [end("n", "a", Result.DELIVERED), interface.Turn("k", "x", True)])
+        self.assertEqual(sent, [("k", "n", False), ("k", "n", True)])
 
 
 if __name__ == "__main__":
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""A machine's wall clock is stepped: times of messages are spans of real time, also over a restart."""
+"""The wall clock is stepped between a kill and a restart: deadlines must still count real time."""
 
 import asyncio
 import json
@@ -13,21 +13,22 @@
 from .test_lifecycle import Program
 
 STEPS = (3600.0, 5.0, -5.0, -3600.0)  # seconds
-SPAN = "3000m"  # that a message may take
-GRACE = 1.5  # seconds after a restart in which no end is overdue
-LATEST = 3.35 + GRACE  # seconds after the hand-in for its end
-EARLIEST = 2.0  # the same, for one that is given up: it may still be delivered before
+TTL = "3000m"  # of the notifications, as the X-Deadline header has it
+GRACE_S = 1.5  # after a restart: no final answer is overdue within it
+LATEST_S = 3.35 + GRACE_S  # from the hand-in to the final answer
+EARLIEST_S = 2.0  # from the hand-in to a notice: the notification may still be delivered before
 
 
 class Restart(Program, unittest.IsolatedAsyncioTestCase):
     async def run_it(self, path, **more):
-        """The program under the faults library; its clock is that of self.control."""
+        """Run the program with the faults library, which sets its clock as self.control says."""
         return await super().run_it(path, **more, **self.control.environment(self.library, Path(self.folder)))
 
     async def played(self, step: float, back: bool) -> tuple[list, list, float]:
-        """Three messages, a kill -9, a step, a start. back: whether the endpoint answers from then on.
+        """Hand in three notifications, kill the relay with SIGKILL, step the clock, and start it again.
 
-        Returns the calls that were answered, the notices, the seconds from the hand-in to the last of both.
+        back: whether the endpoint answers from then on. Returns the answered calls, the notices, and the
+        seconds from the hand-in to the last of both.
         """
         answered, notices, up, last = [], [], False, [0.0]
 
@@ -50,7 +51,7 @@
         process = await self.start(address, agent)
         began = time.monotonic()
         for name in ("a", "b", "c"):
-            head = {"X-Request-Id": name, "X-Deadline": SPAN}
+            head = {"X-Request-Id": name, "X-Deadline": TTL}
             self.assertEqual(await self.ask("POST", "/api", **head), TAKEN)
         process.kill()
         await process.wait()
@@ -58,7 +59,7 @@
         up = back
         process = await self.run_it(f"{self.folder}/config.json")
         ready = time.monotonic()
-        until = max(began + 3.35, ready + GRACE + 0.35)
+        until = max(began + 3.35, ready + GRACE_S + 0.35)
         while time.monotonic() < until and len(answered) + len(notices) < 3:
             await asyncio.sleep(0.02)
         process.kill()
@@ -82,7 +83,7 @@
                 self.control.step_wall_clock(0.0)
                 answered, notices, seconds = await self.played(step, back)
                 ends = (3, 0) if back else (0, 3)
-                in_time = seconds < LATEST and (back or seconds > EARLIEST)
+                in_time = seconds < LATEST_S and (back or seconds > EARLIEST_S)
                 if (len(answered), len(notices)) != ends or not in_time:
                     wrong[step, back] = len(answered), len(notices), round(seconds, 2)
         self.assertEqual(wrong, {})
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,4 +1,4 @@
-"""Starts, stops and full descriptors at close range: the program itself, or the relay in one loop."""
+"""Stops during a start, a start with a full folder, and a start with all descriptors in use."""
 
 import asyncio
 import contextlib
@@ -34,16 +34,16 @@
             relay.ledger.take(Owed(at, time.time() + 9.0, 7, "again", "c", "", "k", b"x"))
             relay.ledger.journal.close()
             relay.ledger.owed.clear()
-            happen = relay.transition
+            transition = relay.transition
 
-            async def crossed(what, happen=happen, relay=relay, at=at):
-                if what == at:
-                    relay.stop_asked.set()
-                    relay.reread_asked.release()  # SIGHUP with it
-                await happen(what)
-                relay.stop_asked.set()
+            async def with_signals(trigger, transition=transition, relay=relay, at=at):
+                if trigger == at:
+                    relay.stop_requested.set()
+                    relay.reload_requested.release()  # SIGHUP with it
+                await transition(trigger)
+                relay.stop_requested.set()
 
-            relay.transition = crossed
+            relay.transition = with_signals
             async with asyncio.timeout(6.0):
                 await relay.run()
             self.assertEqual(relay.phase, "ended")
@@ -57,7 +57,7 @@
 
 class Limits(Program, unittest.IsolatedAsyncioTestCase):
     async def test_ready_in_time_with_a_full_folder_and_no_discovery(self):
-        """Of the seconds that a restart has, nine in ten within 10: a machine at rest takes under one."""
+        """Nine in ten restarts must be ready within 10 s; an idle machine takes less than 1 s."""
         kept = Ledger(Journal(self.folder, 1_500_000))
         kept.recover()
         n, due = 0, time.time() + 60.0
@@ -88,7 +88,7 @@
         await self.start(address, agent, ops=None)
         process = await self.limited()
         idle = []
-        for _ in range(2 * SOCKETS):  # twice what there is; the oldest make room
+        for _ in range(2 * SOCKETS):  # twice as many as there are descriptors: the oldest get closed
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(("127.0.0.1", int(self.listen.rpartition(":")[2])))
@@ -108,13 +108,13 @@
             each.close()
 
     async def limited(self):
-        """The program again, at the same place, with no more descriptors than its configuration says."""
+        """Start the program again, limited to the number of descriptors in its configuration."""
         path = f"{self.folder}/config.json"
         with open(path) as file:
-            told = json.load(file)
-        told["limits"]["sockets"] = SOCKETS
+            document = json.load(file)
+        document["limits"]["sockets"] = SOCKETS
         with open(path, "w") as file:
-            json.dump(told, file)
+            json.dump(document, file)
         self.first.kill()
         await self.first.wait()
         before = resource.getrlimit(resource.RLIMIT_NOFILE)
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""The folder fails for a while: writes, short ones, truncations and removals, wherever a relay makes them."""
+"""Temporary failures of the folder's disk: failed and short writes, truncations, renames and removals."""
 
 import asyncio
 import errno
@@ -18,11 +18,11 @@
 from .test_lifecycle import Program
 from .test_store import owed
 
-HALF = FRAME.pack(400, 1) + b'["taken"'  # what a kill leaves of a record
+HALF = FRAME.pack(400, 1) + b'["taken"'  # an incomplete record, as a kill leaves it
 
 
 class HalfWrites:
-    """A journal's file that takes half of a write and can't be truncated, while `fails`."""
+    """A journal's file that writes half of the data and cannot be truncated, while `fails` is set."""
 
     def __init__(self, file):
         self.file, self.fails = file, True
@@ -41,7 +41,7 @@
 
 class Started(Program, unittest.IsolatedAsyncioTestCase):
     async def test_a_start_with_an_unwritable_folder_serves_and_keeps_what_is_owed(self):
-        """A kill left half a record, and the disk fails just as the next process starts."""
+        """A kill left an incomplete record, and the disk fails while the next process starts."""
         control = FaultControl(Path(self.folder) / "faults")
         self.addCleanup(control.close)
         faults = control.environment(build(Path(self.folder)), Path(self.folder))
@@ -71,7 +71,7 @@
 
 class Adopted(Folder, unittest.TestCase):
     def test_a_partial_copy_that_cannot_be_truncated_hides_no_later_record(self):
-        """A process that is gone left a file; its copy behind ours is cut short, and so is its removal."""
+        """The copy of a dead process's file is written only in part, and truncating that part fails."""
         ours, gone = Ledger(Journal(self.folder, 100_000)), Ledger(Journal(self.folder, 100_000))
         ours.recover()
         gone.recover()
@@ -90,7 +90,7 @@
         self.assertEqual(again.journal.dropped, 0)
 
     def two(self):
-        """A ledger with a message of its own, and one of a process that is gone beside it."""
+        """A ledger with a notification of its own, and beside it the file of a dead process with another."""
         ours, gone = Ledger(Journal(self.folder, 100_000)), Ledger(Journal(self.folder, 100_000))
         for ledger, name in ((ours, "mine"), (gone, "theirs")):
             ledger.recover()
@@ -99,10 +99,11 @@
         return ours
 
     def again(self):
-        made = Ledger(Journal(self.folder, 100_000))
-        made.recover()
-        self.addCleanup(made.journal.close)
-        return made
+        """The ledger as the next start reads it."""
+        ledger = Ledger(Journal(self.folder, 100_000))
+        ledger.recover()
+        self.addCleanup(ledger.journal.close)
+        return ledger
 
     def test_a_file_that_cannot_be_removed_is_not_adopted_twice(self):
         ours = self.two()
@@ -119,7 +120,8 @@
         self.assertEqual((list(self.again().owed), os.listdir(self.folder)), (["mine"], ["owed"]))
 
     def test_a_start_on_an_adopted_file_uses_the_newer_state_of_the_adopter(self):
-        """Ours is `owed.1` then: the next process finds `owed` free and begins with that one."""
+        """Our file is `owed.1` then. The next process finds `owed` unlocked and opens that as its own, while
+        `owed.1` has the newer state of the same notifications."""
         gone = Ledger(Journal(self.folder, 100_000))
         gone.recover()
         gone.take(owed("over by now"))
@@ -138,7 +140,8 @@
             last.journal.close()
 
     def test_while_nothing_can_be_written_adopted_notifications_stay_in_the_old_file_too(self):
-        """Its ends are due all the same; a push waits until it is written, and so does the file's removal."""
+        """Their final answers are due all the same. A push waits until it is written, and so does the removal
+        of the file."""
         full = OSError(errno.ENOSPC, "no space left")
         for killed in (False, True):
             ours = self.two()
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -30,17 +30,18 @@
         return await self.run_it(await self.configured(endpoint, platform, ops, **change))
 
     async def configured(self, endpoint, platform, ops=None, **change):
-        """The path of its configuration."""
+        """Write a configuration; returns its path."""
         path = config(self.folder, platform, change=change, **({"ops": ops} if ops else {}))
         with open(path) as file:
-            told = json.load(file)
-        self.listen = told["listen"] = f"127.0.0.1:{free_port()}"
-        told["known"]["endpoints"][0]["address"] = endpoint
+            document = json.load(file)
+        self.listen = document["listen"] = f"127.0.0.1:{free_port()}"
+        document["known"]["endpoints"][0]["address"] = endpoint
         with open(path, "w") as file:
-            json.dump(told, file)
+            json.dump(document, file)
         return path
 
     async def run_it(self, path, **more):
+        """Start the program and wait until it serves; more: environment variables."""
         env = {**os.environ, "LB_CONFIG": path, "LB_STATE": self.folder, **more}
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "ryestack", env=env, stderr=asyncio.subprocess.DEVNULL
@@ -50,9 +51,10 @@
             await asyncio.sleep(0.05)
             if await self.ask("GET", "/_health") == 200:
                 return process
-        self.fail("it did not get ready")
+        self.fail("the relay was not ready within 30 s")
 
     async def ask(self, method, path, **more):
+        """The status of a request with these headers; None if there is no answer."""
         head = {**HEAD, "X-Tenant": "c", "X-Deadline": "9000m", **more}
         try:
             async with aiohttp.request(method, f"http://{self.listen}{path}", headers=head) as answer:
@@ -63,7 +65,8 @@
 
 class Process(Program, unittest.IsolatedAsyncioTestCase):
     async def test_one_build_serves_both_shapes_by_settings_alone(self):
-        """Few connections and no customers: rare calls hang up. With connections to spare they are kept."""
+        """With few connections and no customers, a rarely used connection is closed after its call. With
+        connections to spare it is kept."""
         zones = {"zones": ["x", "y"], "grades": [{"name": "again", "effect": "keyed", "group": "zone",
                  "windowMs": 9e3, "targetMs": 2e3, "deadlineMs": 2e4}]}
         asked = {"report": {"source": "piggyback", "names": ["x0", "x1"]}, "discovery": "ask"}
@@ -124,7 +127,7 @@
         self.assertEqual(notices, [{"id": "m", "state": "failed"}])
         moved = asyncio.Event()
         third, new = await stand_in(lambda *_: moved.set() or http(200, json.dumps(listed()).encode()))
-        for discovery in ("nowhere", new):  # a bad file changes nothing
+        for discovery in ("nowhere", new):  # an invalid file changes nothing
             config(self.folder, discovery, listen=self.listen)
             process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.1)
@@ -148,7 +151,7 @@
             each.close()
 
 
-class Bounds(Folder, unittest.IsolatedAsyncioTestCase):
+class ConnectionLimits(Folder, unittest.IsolatedAsyncioTestCase):
     async def test_connection_limits_fit_the_descriptors_with_idle_clients(self):
         for sockets in (256, 1024):
             limits = {"cores": 1.0, "memory_mb": 64, "sockets": sockets, "disk_mb": 3}
@@ -163,8 +166,8 @@
 class Configuration(Folder, unittest.TestCase):
     def test_the_phase_table_leads_from_start_to_exit(self):
         phase, inputs = "starting", ["begun", "recovered", "asked to stop", "accepted long enough", "settled"]
-        for heard in [*inputs, "wound up"]:
-            phase, _ = PHASES[phase, heard]
+        for trigger in [*inputs, "wound up"]:
+            phase, _ = PHASES[phase, trigger]
         self.assertEqual(phase, "ended")
 
     def test_each_configuration_error_is_named_in_one_line(self):
--- a/tests/test_line.py
+++ b/tests/test_line.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay: the table of succession, the channel between them, crashes."""
+"""Two processes of one relay: the state tables of an upgrade, the channel, and kills during an adoption."""
 
 import asyncio
 import os
@@ -20,51 +20,51 @@
 from .test_store import owed
 
 
-class Table(unittest.TestCase):
+class SuccessionTables(unittest.TestCase):
     def test_a_successor_that_never_serves_or_dies_changes_nothing(self):
-        s = Succession()
-        s.on_successor("connected")
-        self.assertEqual((s.processes(), s.relieved()), (2, False))
-        s.on_successor("gone")
-        s.on_successor("serves")  # a word of the one that is gone
-        self.assertEqual((s.processes(), s.relieved()), (1, False))
+        succession = Succession()
+        succession.on_successor("connected")
+        self.assertEqual((succession.processes(), succession.relieved()), (2, False))
+        succession.on_successor("gone")
+        succession.on_successor("serves")  # a late message of the dead process
+        self.assertEqual((succession.processes(), succession.relieved()), (1, False))
 
     def test_every_event_leads_to_a_listed_state_and_a_dead_process_is_not_counted(self):
-        for table, whats in ((PREDECESSOR, ("found", "gone")), (SUCCESSOR, ("connected", "serves", "gone"))):
+        for table, events in ((PREDECESSOR, ("found", "gone")), (SUCCESSOR, ("connected", "serves", "gone"))):
             states = {"none", *table.values(), *(state for state, _ in table)}
             for state in states - {"none"}:
                 self.assertEqual(table[state, "gone"], "none")
             for state in states:
-                for what in whats:
-                    s = Succession()
-                    relation, tell = "successor", s.on_successor
+                for event in events:
+                    succession = Succession()
+                    relation, apply = "successor", succession.on_successor
                     if table is PREDECESSOR:
-                        relation, tell = "predecessor", s.on_predecessor
-                    setattr(s, relation, state)
-                    tell(what)
-                    self.assertIn(getattr(s, relation), states)
-                    self.assertEqual(s.relieved(), s.successor == "serving")
+                        relation, apply = "predecessor", succession.on_predecessor
+                    setattr(succession, relation, state)
+                    apply(event)
+                    self.assertIn(getattr(succession, relation), states)
+                    self.assertEqual(succession.relieved(), succession.successor == "serving")
 
     def test_three_processes_in_a_row(self):
-        s = Succession()
-        s.on_predecessor("found")
-        s.on_successor("connected")
-        s.on_successor("serves")
-        self.assertEqual((s.processes(), s.relieved()), (3, True))
-        s.on_predecessor("gone")
-        self.assertEqual((s.processes(), s.relieved()), (2, True))
+        succession = Succession()
+        succession.on_predecessor("found")
+        succession.on_successor("connected")
+        succession.on_successor("serves")
+        self.assertEqual((succession.processes(), succession.relieved()), (3, True))
+        succession.on_predecessor("gone")
+        self.assertEqual((succession.processes(), succession.relieved()), (2, True))
 
     def test_once_relieved_it_drains_from_every_serving_phase(self):
         for phase in ("serving", "emptying", "empty"):
             self.assertEqual(PHASES[phase, "relieved"], ("draining", "hand_over_listeners"))
 
 
-class Lines(Folder, unittest.IsolatedAsyncioTestCase):
+class ChannelBetweenProcesses(Folder, unittest.IsolatedAsyncioTestCase):
     async def test_any_error_while_listening_marks_the_other_process_as_gone(self):
-        """Unseen, its half of the folder would be kept for it for good."""
+        """If it went unnoticed, half of the folder would stay reserved for the dead process."""
 
         async def fault(*_):
-            raise RuntimeError("of our own")
+            raise RuntimeError("a fault of this process")
 
         relay, successor, channel = Mock(), Succession(), Mock()
         successor.on_successor("connected")
@@ -130,18 +130,22 @@
         self.assertTrue(full.writer.is_closing())
         stands_still.close()
         listener.close()
-        self.assertIsNone(connect(folder))  # what a dead process left is no process
+        self.assertIsNone(connect(folder))  # nobody listens at the socket of a dead process
 
 
 class Killed(BaseException):
-    """As a kill does: no handler of errors hears of it."""
+    """A simulated kill: a BaseException, so that no `except Exception` or `except OSError` catches it."""
 
 
 class Crash(Folder, unittest.TestCase):
-    """A kill at each change of the folder, of a start, a rewrite and an adoption."""
+    """A kill at each change of the folder during a start, a rewrite and an adoption."""
 
     def story(self, dies_at):
-        """Two processes; the first ends, the second adopts. What was begun, promised, ending, and over."""
+        """Two processes; the first exits, the second adopts. Killed at change number dies_at.
+
+        Returns the ids of which the take was begun and completed, and the end was begun and completed; and
+        whether the kill happened.
+        """
         changes, alive, begun, promised, ending, over = 0, [], set(), set(), set(), set()
 
         def change(real):
--- a/tests/test_notices_written.py
+++ b/tests/test_notices_written.py
@@ -1,4 +1,5 @@
-"""A final answer is told once it is written down: a kill before that would let the next life go on."""
+"""A final answer is sent only once it is in the journal: after a kill before that, the next process would not
+know of it and continue."""
 
 import asyncio
 import errno
@@ -15,7 +16,7 @@
 
 class Unwritten(OwnerMade, unittest.IsolatedAsyncioTestCase):
     def failing(self, owner):
-        """The folder takes nothing."""
+        """Every write to the journal fails."""
         full = OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         journal = owner.ledger.journal
         return mock.patch.multiple(
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The task that owns the decisions: order of promises, recovery, terms."""
+"""The owner: the order of journal, answer and push, recovery, and terms."""
 
 import asyncio
 import unittest
@@ -16,20 +16,20 @@
 
 
 class OwnerMade(Folder):
-    """An owner in a folder, with a dispatcher and a sink that write down what they are given."""
+    """An owner in a folder, with a dispatcher and a notice sink that record what they are given."""
 
     def owner(self, folder=None, allowance=100_000, **more):
         ledger = Ledger(Journal(folder or self.folder, allowance))
         ledger.recover()
         self.addCleanup(ledger.journal.close)
-        made = Owner(settings(**more), 1, ledger, lambda: self.now, 1000.0)
-        made.brain.round(0.0, [self.listed] if not ledger.owed else [])
-        self.sent, self.sent_notices, self.last = [], [], made
-        made.dispatcher = SimpleNamespace(forget=lambda: None)
-        made.dispatcher.close_idle = made.dispatcher.cancel_unsent = lambda _: None
-        made.dispatcher.start = lambda _, items: self.sent.extend((i.id, i.push) for i in items)
-        made.notices = SimpleNamespace(add=lambda name, notice: self.sent_notices.append((name, notice)))
-        return made
+        owner = Owner(settings(**more), 1, ledger, lambda: self.now, 1000.0)
+        owner.brain.round(0.0, [self.listed] if not ledger.owed else [])
+        self.sent, self.sent_notices, self.last = [], [], owner
+        owner.dispatcher = SimpleNamespace(forget=lambda: None)
+        owner.dispatcher.close_idle = owner.dispatcher.cancel_unsent = lambda _: None
+        owner.dispatcher.start = lambda _, items: self.sent.extend((item.id, item.push) for item in items)
+        owner.notices = SimpleNamespace(add=lambda name, notice: self.sent_notices.append((name, notice)))
+        return owner
 
     def setUp(self):
         super().setUp()
@@ -43,67 +43,69 @@
         return HandIn(take(name, topic, due), "", body, loop.create_future(), loop.create_future())
 
     def restarted(self, after):
-        """The same relay after a kill, so many seconds later."""
+        """The owner of the same relay after a kill and a restart `after` seconds later."""
         self.now += after
         self.last.ledger.journal.close()
-        made = self.owner()
-        made.recover([self.listed])
-        self.now += 0.1  # a new route's first call comes a moment later
-        made.round([interface.Woken()])
-        return made
+        owner = self.owner()
+        owner.recover([self.listed])
+        self.now += 0.1  # the first call to a new route is delayed
+        owner.round([interface.Woken()])
+        return owner
 
 
 class OwnerTask(OwnerMade, unittest.IsolatedAsyncioTestCase):
     async def test_a_failed_list_request_is_retried_with_backoff_until_one_succeeds(self):
-        o, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
-        o.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
+        owner, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
+        owner.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
         self.now += 1.1
-        o.round([interface.Woken()])  # the asking of a start, which says nothing here
+        owner.round([interface.Woken()])  # the request at the start, which does not matter here
         asked.clear()
         with patch.object(loop, "call_later"):
-            for least, most in ((1.0, 2.0), (1.75, 3.5), (1.75, 3.5), (1.75, 3.5)):
-                failed, told = self.now, len(asked)
-                o.round([interface.ListUpdate(failed=True)])
-                while len(asked) == told:
+            for minimum, maximum in ((1.0, 2.0), (1.75, 3.5), (1.75, 3.5), (1.75, 3.5)):
+                failed, before = self.now, len(asked)
+                owner.round([interface.ListUpdate(failed=True)])
+                while len(asked) == before:
                     self.now += 0.01
-                    o.round([interface.Woken()])
-                self.assertTrue(least <= asked[-1] - failed <= most + 0.02, (least, asked[-1] - failed))
-            o.round([interface.ListUpdate()])
-            o.round([interface.ListUpdate(failed=True)])
+                    owner.round([interface.Woken()])
+                self.assertTrue(
+                    minimum <= asked[-1] - failed <= maximum + 0.02, (minimum, asked[-1] - failed)
+                )
+            owner.round([interface.ListUpdate()])
+            owner.round([interface.ListUpdate(failed=True)])
             self.now += 2.01
-            o.round([interface.Woken()])
+            owner.round([interface.Woken()])
         self.assertEqual(len(asked), 5)
 
     async def test_journalled_then_answered_then_pushed(self):
-        o, message = self.owner(), self.hand_in("n")
-        o.round([message])
+        owner, message = self.owner(), self.hand_in("n")
+        owner.round([message])
         self.assertEqual((message.verdict.result(), self.sent), ((Verdict.TAKEN, 0.0), [("n", 0)]))
-        o.ledger.journal.close()
+        owner.ledger.journal.close()
         read = Ledger(Journal(self.folder, 100_000))
         read.recover()
         read.journal.close()
         self.assertEqual((read.owed["n"].due, read.owed["n"].open_pushes), (1030.0, {0: 1010.0}))
 
     async def test_a_hand_in_past_its_answer_deadline_is_refused_before_the_module_sees_it(self):
-        o, late, soon = self.owner(), self.hand_in("late"), self.hand_in("soon")
+        owner, late, soon = self.owner(), self.hand_in("late"), self.hand_in("soon")
         late.answer_by, soon.answer_by = self.now - 0.01, self.now
-        o.round([late, soon])
+        owner.round([late, soon])
         self.assertEqual([m.verdict.result()[0] for m in (late, soon)], [Verdict.THROTTLED, Verdict.TAKEN])
-        self.assertEqual((list(o.ledger.owed), list(o.brain.held)), (["soon"], ["soon"]))
+        self.assertEqual((list(owner.ledger.owed), list(owner.brain.held)), (["soon"], ["soon"]))
         self.assertEqual(self.sent, [("soon", 0)])
-        self.assertEqual(o.ended["again", "throttled"], 1)
+        self.assertEqual(owner.ended["again", "throttled"], 1)
 
     async def test_an_immediate_final_answer_leaves_nothing_owed(self):
-        o, message = self.owner(), self.hand_in("n", due=10.0)
-        o.round([message])
+        owner, message = self.owner(), self.hand_in("n", due=10.0)
+        owner.round([message])
         self.assertEqual(
-            (message.verdict.result()[0], o.ledger.owed, self.sent_notices), (Verdict.THROTTLED, {}, [])
+            (message.verdict.result()[0], owner.ledger.owed, self.sent_notices), (Verdict.THROTTLED, {}, [])
         )
 
     async def test_a_later_final_answer_is_a_notice_and_is_owed_until_delivered(self):
-        o = self.owner()
-        o.round([self.hand_in("n", "once")])
-        o.round([interface.Outcome("n", 0, "a", Result.BROKEN)])
+        owner = self.owner()
+        owner.round([self.hand_in("n", "once")])
+        owner.round([interface.Outcome("n", 0, "a", Result.BROKEN)])
         self.assertEqual(self.sent_notices, [("n", {"state": "failed"})])
         again = self.restarted(1.0)
         self.assertEqual((self.sent_notices, self.sent), ([("n", {"state": "failed"})], []))
@@ -112,48 +114,48 @@
         self.assertEqual(self.sent_notices, [])
 
     async def test_after_a_kill_each_notification_is_decided_by_its_history(self):
-        o = self.owner()
-        o.round([self.hand_in("n", "once"), self.hand_in("m"), self.hand_in("o", "merge")])
-        o.round([self.hand_in("p", "once", due=11.0), interface.Outcome("m", 0, "a", Result.DELIVERED)])
-        o = self.restarted(2.0)
+        owner = self.owner()
+        owner.round([self.hand_in("n", "once"), self.hand_in("m"), self.hand_in("o", "merge")])
+        owner.round([self.hand_in("p", "once", due=11.0), interface.Outcome("m", 0, "a", Result.DELIVERED)])
+        owner = self.restarted(2.0)
         self.assertEqual(sorted(self.sent_notices), [("n", {"state": "failed"}), ("p", {"state": "failed"})])
         self.assertEqual(self.sent, [("o", 1)])
-        o.notices_delivered(["n", "p"])
+        owner.notices_delivered(["n", "p"])
         self.restarted(6.0)
         self.assertEqual(self.sent_notices, [("o", {"state": "returned"})])
 
     async def test_a_withdrawn_notification_is_forgotten(self):
-        o = self.owner()
-        o.round([self.hand_in("n")])
-        o.round([interface.Withdrawn("n")])
+        owner = self.owner()
+        owner.round([self.hand_in("n")])
+        owner.round([interface.Withdrawn("n")])
         self.restarted(1.0)
         self.assertEqual((self.sent, self.sent_notices), ([], []))
 
     async def test_an_id_in_use_is_malformed_and_the_first_notification_stays(self):
-        o, twice = self.owner(), self.hand_in("n")
-        o.round([self.hand_in("n"), twice])
-        self.assertEqual((twice.verdict.result()[0], list(o.ledger.owed)), (Verdict.UNREADABLE, ["n"]))
+        owner, twice = self.owner(), self.hand_in("n")
+        owner.round([self.hand_in("n"), twice])
+        self.assertEqual((twice.verdict.result()[0], list(owner.ledger.owed)), (Verdict.UNREADABLE, ["n"]))
 
     async def test_many_hand_ins_in_one_round_do_not_overfill_the_journal(self):
-        o, many = self.owner(), [self.hand_in(f"n{i}", body=b"x" * 3_000) for i in range(90)]
-        o.round(many)
+        owner, many = self.owner(), [self.hand_in(f"n{i}", body=b"x" * 3_000) for i in range(90)]
+        owner.round(many)
         statuses = [m.verdict.result()[0] for m in many]
         self.assertEqual(statuses.count(Verdict.TAKEN), 10)
-        self.assertLess(o.ledger.journal.size, 50_000)
+        self.assertLess(owner.ledger.journal.size, 50_000)
 
     async def test_a_nearly_full_journal_refuses_and_a_full_disk_does_not_crash(self):
-        o, large = self.owner(), self.hand_in("n", body=b"x" * 50_000)
-        o.round([large])
+        owner, large = self.owner(), self.hand_in("n", body=b"x" * 50_000)
+        owner.round([large])
         self.assertEqual(large.verdict.result()[0], Verdict.THROTTLED)
         first = self.hand_in("m")
-        o.round([first])
-        o.ledger.journal.append = self.no_room
-        o.round([self.hand_in("p"), interface.Outcome("m", 0, "a", Result.ERROR)])
-        self.assertEqual(list(o.ledger.owed), ["m"])
-        o.round(o.take_queue())
-        self.assertNotIn("p", o.brain.held)
-        o.round([interface.Outcome("m", 1, "a", Result.DELIVERED)])
-        self.assertEqual(o.ledger.owed, {})
+        owner.round([first])
+        owner.ledger.journal.append = self.no_room
+        owner.round([self.hand_in("p"), interface.Outcome("m", 0, "a", Result.ERROR)])
+        self.assertEqual(list(owner.ledger.owed), ["m"])
+        owner.round(owner.take_queue())
+        self.assertNotIn("p", owner.brain.held)
+        owner.round([interface.Outcome("m", 1, "a", Result.DELIVERED)])
+        self.assertEqual(owner.ledger.owed, {})
 
     def no_room(self, _):
         raise OSError("no space left")
--- a/tests/test_peers_takeover.py
+++ b/tests/test_peers_takeover.py
@@ -1,4 +1,4 @@
-"""What a successor does with a push that its owner may still have out."""
+"""Take-over of a notification while its former owner may still have a push in flight."""
 
 import asyncio
 import random
@@ -27,7 +27,7 @@
 def test_a_notification_with_a_push_in_flight_waits_until_its_owner_gives_the_push_up():
     async def play():
         loop = asyncio.get_running_loop()
-        g, adopted = replicated(loop.time)
+        work, adopted = replicated(loop.time)
         wall = loop.time() + 1000.0
         shard = Shard(("r9", 1), ("r0",), "r0", 1.0, random.Random(1), 0.0)
         shard.state, shard.acting = "leader", True
@@ -38,9 +38,9 @@
             ])
         ended = Owed("ended", wall + 20.0, 7, "again", "", "", "", b"x")
         shard.contents.apply([record_codec.encode_outcome(ended, 0, True)])
-        g.on_acts(shard)
+        work.on_acts(shard)
         at_once = list(adopted)
-        assert g.owner.ledger.owed["out"].open_pushes and g.owner.ledger.owed["out"].pushes == 1
+        assert work.owner.ledger.owed["out"].open_pushes and work.owner.ledger.owed["out"].pushes == 1
         await asyncio.sleep(0.2)
         before = list(adopted)
         await asyncio.sleep(0.2)
@@ -53,7 +53,7 @@
 def test_nothing_is_resumed_if_the_shard_is_lost_meanwhile():
     async def play():
         loop = asyncio.get_running_loop()
-        g, adopted = replicated(loop.time)
+        work, adopted = replicated(loop.time)
         wall = loop.time() + 1000.0
         shard = Shard(("r9", 1), ("r0",), "r0", 1.0, random.Random(1), 0.0)
         shard.state, shard.acting = "leader", True
@@ -61,10 +61,10 @@
         shard.contents.apply([
             record_codec.encode_taken(owed), record_codec.encode_push(owed, 0, wall, wall + 0.1)
         ])
-        g.on_acts(shard)
-        g.on_lost(shard)
+        work.on_acts(shard)
+        work.on_lost(shard)
         await asyncio.sleep(0.2)
-        return adopted, dict(g.owner.ledger.owed)
+        return adopted, dict(work.owner.ledger.owed)
 
     assert asyncio.run(play()) == ([], {})
 
--- a/tests/test_races_left.py
+++ b/tests/test_races_left.py
@@ -1,4 +1,5 @@
-"""Crossings that had no test: an early answer, a kill before the first byte, a full queue handed over."""
+"""Races: an answer before the end of a request, a kill before the first byte, a full accept queue handed
+over."""
 
 import asyncio
 import os
@@ -40,7 +41,7 @@
 
 
 async def all_that_comes(sock) -> int:
-    """Bytes to the end of the connection, or to a reset."""
+    """The number of bytes until the connection is closed or reset."""
     got = 0
     with suppress(ConnectionResetError):
         async with asyncio.timeout(3.0):
@@ -49,23 +50,24 @@
     return got
 
 
-async def outcome(told: asyncio.Queue) -> interface.Outcome:
+async def outcome(events: asyncio.Queue) -> interface.Outcome:
+    """The next outcome in the queue."""
     async with asyncio.timeout(3.0):
-        while not isinstance(each := await told.get(), interface.Outcome):
+        while not isinstance(each := await events.get(), interface.Outcome):
             pass
     return each
 
 
 async def with_calls(story) -> None:
-    """story(calls, listener of the endpoint "a", outcomes)"""
-    told, listener = asyncio.Queue(), socket.create_server(("127.0.0.1", 0))
+    """Run story(calls, listener of the endpoint "a", queue of events)."""
+    queue, listener = asyncio.Queue(), socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
     host, port = listener.getsockname()
     clock = asyncio.get_running_loop().time
-    tell = lambda events: [told.put_nowait(e) for e in events]  # noqa: E731
+    tell = lambda events: [queue.put_nowait(each) for each in events]  # noqa: E731
     calls = Calls(settings(connection_idle=5.0), members(address=f"{host}:{port}"), clock, tell, 50)
     try:
-        await story(calls, listener, told)
+        await story(calls, listener, queue)
     finally:
         await calls.close()
         listener.close()
@@ -76,14 +78,15 @@
 
 
 def test_after_a_refusal_before_our_last_byte_the_rest_is_not_sent():
-    """Stray or not. The library has written the body, of which the most is still with us."""
+    """A refusal then means that the request never ran, whether or not it answers this request. The HTTP
+    library has accepted the body, but most of it is still in our buffers and must not be sent."""
     body, made = b"b" * 60_000, EndpointConnection.connection_made
 
     def with_little_room(connection, transport):
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         made(connection, transport)
 
-    async def story(calls, listener, told):
+    async def story(calls, listener, queue):
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         with mock.patch.object(EndpointConnection, "connection_made", with_little_room):
             calls.start("a", [push(body=body)])
@@ -92,7 +95,7 @@
         [connection] = calls.kept
         assert connection.whole.get_write_buffer_size() > 10_000
         sock.send(http(503))
-        assert (await outcome(told)).result is Result.FULL
+        assert (await outcome(queue)).result is Result.FULL
         assert await all_that_comes(sock) < len(body) - 10_000
         sock.close()
 
@@ -100,20 +103,21 @@
 
 
 def test_an_answer_behind_an_unexpected_one_does_not_answer_the_next_call():
-    """After our last byte a stray 200 can't be told from an answer; the true one must not be the next's."""
+    """After our last byte an unexpected 200 looks like the answer. The true answer that follows must not
+    be taken for the answer to the next call."""
 
-    async def story(calls, listener, told):
+    async def story(calls, listener, queue):
         calls.start("a", [push("first")])
         sock = await far_end(listener)
         await read_until(sock, b"\r\n\r\nx")
         sock.send(http(200))
-        assert (await outcome(told)).result is Result.DELIVERED
-        sock.send(http(500))  # its own, late: nothing is asked on that connection any more
+        assert (await outcome(queue)).result is Result.DELIVERED
+        sock.send(http(500))  # the true answer, too late: no further request uses that connection
         calls.start("a", [push("next")])
         other = await far_end(listener)
         await read_until(other, b"\r\n\r\nx")
         other.send(http(200))
-        assert (await outcome(told)).result is Result.DELIVERED
+        assert (await outcome(queue)).result is Result.DELIVERED
         assert await all_that_comes(sock) == 0
         for each in (sock, other):
             each.close()
@@ -123,13 +127,13 @@
 
 def owner(folder: str, now: float, start) -> tuple[Owner, list]:
     """An owner over a folder, and the notices that it sends."""
-    told, ledger = [], Ledger(Journal(folder, 100_000))
+    notices, ledger = [], Ledger(Journal(folder, 100_000))
     ledger.recover()
     made = Owner(settings(), 1, ledger, lambda: now, 1000.0)
     made.dispatcher = SimpleNamespace(forget=lambda: None, start=start)
     made.dispatcher.close_idle = made.dispatcher.cancel_unsent = lambda _: None
-    made.notices = SimpleNamespace(add=lambda name, notice: told.append((name, notice)))
-    return made, told
+    made.notices = SimpleNamespace(add=lambda name, notice: notices.append((name, notice)))
+    return made, notices
 
 
 def test_a_kill_between_the_push_record_and_the_first_byte_counts_as_a_push_that_may_have_run():
@@ -154,26 +158,27 @@
         assert [message.verdict.result()[0] for message in handed] == [Verdict.TAKEN] * 2
         first.ledger.journal.close()
         pushed = []
-        second, told = owner(left, 11.0, lambda _, items: pushed.extend((i.id, i.push) for i in items))
+        second, notices = owner(left, 11.0, lambda _, items: pushed.extend((i.id, i.push) for i in items))
         second.recover([listed])
         second.clock = lambda: 11.1
         second.round([interface.Woken()])
         second.ledger.journal.close()
-        assert (told, pushed) == ([("one", {"state": "failed"})], [("two", 1)])
+        assert (notices, pushed) == ([("one", {"state": "failed"})], [("two", 1)])
 
     with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory() as left:
         asyncio.run(story(folder, left))
 
 
 def test_a_full_accept_queue_is_handed_over_completely():
-    """The process before takes none on: some wait in the queue, some at its door; no close resets any."""
+    """The old process accepts no connection: some wait in the accept queue, some for a place in it. Closing
+    its descriptor must reset none of them."""
 
     async def ask(address) -> bytes:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(WHOLE)
-        said = await reader.read(12)
+        status_line = await reader.read(12)
         writer.close()
-        return said
+        return status_line
 
     async def story():
         before = socket.create_server(("127.0.0.1", 0), backlog=4, reuse_port=True)
@@ -186,9 +191,9 @@
         await clients.listen(*before.getsockname()[:2], handed)
         before.close()
         async with asyncio.timeout(5.0):
-            said = await asyncio.gather(*asked)
+            answers = await asyncio.gather(*asked)
         clients.stop_listening()
         await clients.server.shutdown(0.1)
-        assert said == [b"HTTP/1.1 503"] * 12
+        assert answers == [b"HTTP/1.1 503"] * 12
 
     asyncio.run(story())
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: whole or not at all; open notifications keep the rules they were taken under."""
+"""New settings at SIGHUP: applied completely or not at all; open notifications keep their terms."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
     return replace(settings(**more), topic_types=topics)
 
 
-class Rules(unittest.TestCase):
+class TermsDuringAChange(unittest.TestCase):
     def test_a_removed_topic_type_is_accepted_under_its_old_terms_for_a_grace_period(self):
         terms = Terms(tuned(AGAIN))
         terms.change(tuned(MERGE), 10.0)
@@ -36,9 +36,9 @@
         for new, old in ((Effect.REPEATABLE, Effect.ONCE_ONLY), (Effect.ONCE_ONLY, Effect.REPEATABLE)):
             terms = Terms(tuned(replace(ONCE, effect=old), max_pushes=3))
             terms.change(tuned(replace(ONCE, effect=new), max_pushes=6), 10.0)
-            for now, effect, most in ((11.0, Effect.ONCE_ONLY, 3), (12.0, new, 6)):
-                topic, pushes_left = terms.lookup("once", now)
-                self.assertEqual((topic.effect, pushes_left), (effect, most))
+            for now, effect, expected in ((11.0, Effect.ONCE_ONLY, 3), (12.0, new, 6)):
+                topic, max_pushes = terms.lookup("once", now)
+                self.assertEqual((topic.effect, max_pushes), (effect, expected))
         narrow = replace(MERGE, group="zone", window=4.0)
         self.assertEqual((stricter(MERGE, narrow).group, stricter(narrow, MERGE).window), ("zone", 4.0))
         self.assertEqual(stricter(AGAIN, narrow).window, 4.0)
@@ -50,18 +50,18 @@
         self.assertEqual(terms.lookup("once", 11.5)[0].effect, Effect.ONCE_ONLY)
 
     def test_the_module_keeps_the_terms_a_notification_was_accepted_under(self):
-        b = brain()
-        b.round(1.0, [take("n", "once"), take("m", "again")])
+        module = brain()
+        module.round(1.0, [take("n", "once"), take("m", "again")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE), AGAIN, max_pushes=1, slots=20)
         fails = [end("n", "a", Result.BROKEN), end("m", "a", Result.ERROR)]
-        acts = b.round(1.1, [interface.Retuned(changed), *fails])
-        self.assertEqual((kinds(acts, interface.Expire), pushes(acts)), (["n"], [("m", "b")]))
-        acts = b.round(1.2, [take("o", "once")]) + b.round(1.3, [end("o", "b", Result.ERROR)])
-        self.assertEqual(kinds(acts, interface.Throttle), ["o"])  # one push is all that it may have now
-        self.assertEqual(b.slots + len({id(call) for call, _ in b.out.values()}), 20)
+        actions = module.round(1.1, [interface.Retuned(changed), *fails])
+        self.assertEqual((kinds(actions, interface.Expire), pushes(actions)), (["n"], [("m", "b")]))
+        actions = module.round(1.2, [take("o", "once")]) + module.round(1.3, [end("o", "b", Result.ERROR)])
+        self.assertEqual(kinds(actions, interface.Throttle), ["o"])  # the new maximum is one push
+        self.assertEqual(module.slots + len({id(call) for call, _ in module.out.values()}), 20)
 
 
-class Whole(Folder, unittest.TestCase):
+class InvalidFiles(Folder, unittest.TestCase):
     def test_a_missing_key_is_named(self):
         old = {"a": {"b": 1, "c": None}, "rows": [{"effect": "x", "k": 1, "w": 2}, {"effect": "y", "k": 1}]}
         self.assertEqual(lacking(old, old), "")
@@ -83,8 +83,8 @@
                     load({"LB_CONFIG": path, "LB_STATE": self.folder})
 
 
-class Kept(OwnerTask):
-    """OwnerTask's tests run here once more, with notifications that bring their terms."""
+class OwnerTaskWithTerms(OwnerTask):
+    """Runs OwnerTask's tests again, with notifications that bring their terms."""
 
     def hand_in(self, name, topic="again", due=30.0, body=b"x"):
         message = super().hand_in(name, topic, due, body)
@@ -93,57 +93,58 @@
         return message
 
     async def test_a_restart_after_a_change_uses_the_old_terms(self):
-        o = self.owner()
-        o.round([self.hand_in("n", "once"), self.hand_in("m", "merge")])
+        owner = self.owner()
+        owner.round([self.hand_in("n", "once"), self.hand_in("m", "merge")])
         changed = tuned(replace(ONCE, effect=Effect.REPEATABLE))
         self.now += 1.0
-        o.ledger.journal.close()
-        made = self.owner()
-        made.retune(changed)
-        made.recover([self.listed])
+        owner.ledger.journal.close()
+        restarted = self.owner()
+        restarted.retune(changed)
+        restarted.recover([self.listed])
         self.now += 0.1
-        made.round([*made.take_queue(), interface.Woken()])
+        restarted.round([*restarted.take_queue(), interface.Woken()])
         self.assertEqual((self.sent_notices, self.sent), ([("n", {"state": "failed"})], [("m", 1)]))
-        made.ledger.rewrite()
-        made.ledger.journal.close()
+        restarted.ledger.rewrite()
+        restarted.ledger.journal.close()
         again = self.owner().ledger.owed["m"].terms
         self.assertEqual(again, ["collapsible", 2.0, 20.0, 1.0, 0.0, "all", 6.0, False, 6])
 
 
 class Signal(Staffed, unittest.IsolatedAsyncioTestCase):
-    """The running program."""
+    """SIGHUP to the running program."""
 
-    async def hup(self, taken, turned_down):
+    async def hup(self, accepted, rejected):
+        """Send SIGHUP and wait for these counts of reloads."""
         self.process.send_signal(signal.SIGHUP)
-        await self.until(("lb_loads_total", ()), taken)
-        await self.until(("lb_load_errors_total", ()), turned_down)
+        await self.until(("lb_loads_total", ()), accepted)
+        await self.until(("lb_load_errors_total", ()), rejected)
 
     async def test_an_invalid_file_changes_nothing_and_a_valid_one_everything(self):
         path = f"{self.folder}/config.json"
         with open(path) as file:
             good = file.read()
-        told = json.loads(good)
-        told["settings"]["grades"][0]["name"] = "fresh"
-        lacks = json.loads(good)
-        del lacks["settings"]["grades"][0]["windowMs"]
-        turned_down = 0
-        for bad in ("", good[:200], json.dumps(lacks), json.dumps({**told, "ops": None})):
+        document = json.loads(good)
+        document["settings"]["grades"][0]["name"] = "fresh"
+        incomplete = json.loads(good)
+        del incomplete["settings"]["grades"][0]["windowMs"]
+        rejected = 0
+        for bad in ("", good[:200], json.dumps(incomplete), json.dumps({**document, "ops": None})):
             with open(path, "w") as file:
                 file.write(bad)
-            turned_down += 1
-            await self.hup(0, turned_down)
+            rejected += 1
+            await self.hup(0, rejected)
         self.assertEqual(await self.ask("POST", "/api"), TAKEN)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Class": "fresh"}), MALFORMED)
         with open(path, "w") as file:
-            json.dump(told, file)
-        await self.hup(1, turned_down)
+            json.dump(document, file)
+        await self.hup(1, rejected)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "m", "X-Class": "fresh"}), TAKEN)
-        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)  # told as before
+        self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)  # old settings
         await asyncio.sleep(GRACE_S)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "p"}), MALFORMED)
 
 
-del OwnerTask  # else it runs from here again
+del OwnerTask  # otherwise its tests would be collected here a second time
 
 
 if __name__ == "__main__":
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,3 +1,5 @@
+"""The ledger and its journal: records, rewrites, disk limits, damage."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -9,6 +11,7 @@
 
 
 def owed(name, body=b"\x00\r\n body", **more):
+    """An open once-only notification to destination 7, due at 50.0."""
     return Owed(name, 50.0, 7, "once", "c", "", "k", body, **more)
 
 
@@ -23,13 +26,13 @@
         self.assertEqual(self.ledger().owed, {"n": owed("n", size=self.size(owed("n")))})
 
     def ledger(self, allowance=100_000):
-        """As a start finds the folder: the process before, if any, is dead and holds nothing."""
+        """The ledger as a start reads it, after the previous process, if any, has died."""
         if self.last:
             self.last.journal.close()
-        self.last = made = Ledger(Journal(self.folder, allowance))
-        made.recover()
-        self.addCleanup(made.journal.close)
-        return made
+        self.last = ledger = Ledger(Journal(self.folder, allowance))
+        ledger.recover()
+        self.addCleanup(ledger.journal.close)
+        return ledger
 
     def size(self, one):
         return len(one.body) + 512
@@ -63,14 +66,14 @@
             self.assertEqual(list(self.ledger().owed), ["n", "m"])
 
     def test_old_and_new_file_stay_within_the_allowance(self):
-        kept, most = self.ledger(40_000), 0
+        kept, max_bytes = self.ledger(40_000), 0
         write = kept.journal.rewrite
 
         def rewrite(payloads):
-            nonlocal most
+            nonlocal max_bytes
             before = kept.journal.size
             write(payloads)
-            most = max(most, before + kept.journal.size)
+            max_bytes = max(max_bytes, before + kept.journal.size)
 
         kept.journal.rewrite = rewrite
         for i in range(500):
@@ -79,7 +82,7 @@
             if i > 5:
                 kept.finish(f"n{i - 5}")
             self.assertLess(kept.journal.size, 40_000)
-        self.assertTrue(0 < most < 40_000)
+        self.assertTrue(0 < max_bytes < 40_000)
         self.assertEqual(len(self.ledger(40_000).owed), 6)
 
     def test_a_file_of_dead_records_is_rewritten_long_before_it_is_full(self):
@@ -90,7 +93,8 @@
         self.assertLess(kept.journal.size, 110_000)
 
     def test_few_dead_bytes_do_not_cause_a_rewrite_per_record(self):
-        """As when a process of an upgrade owes most of what half of the allowance holds: 807 were lost so."""
+        """During an upgrade the allowance is halved. A process whose live records fill most of that half
+        rewrote its file at each record and blocked: 807 notifications were lost."""
         ledger, written = self.ledger(1_000_000), []
         taken = sum(ledger.take(owed(f"n{n}", b"x" * 212)) for n in range(600))
         ledger.journal.share(2)
@@ -114,7 +118,7 @@
         self.assertEqual(list(back.owed), ["n", "m", "o"])
         self.assertEqual([o.first_may_have_run_at() for o in back.owed.values()][:2], [41.0, float("inf")])
         self.assertEqual((back.owed["o"].notice, back.owed["o"].body), ({"state": "failed"}, b""))
-        back.outcome("n", 0, True)  # the push that was out at the rewrite turns out not to have run
+        back.outcome("n", 0, True)  # the push that was in flight at the rewrite never ran
         self.assertEqual(self.ledger().owed["n"].first_may_have_run_at(), float("inf"))
 
     def test_nearly_full_has_no_room(self):
@@ -166,7 +170,7 @@
     setUp, ledger = Store.setUp, Store.ledger
 
     def damaged(self):
-        """A file of n, m and a push of n, with a bit of m's record turned over."""
+        """A file with records of n, m and a push of n, and a flipped bit in m's record."""
         first = self.ledger()
         first.take(owed("n"))
         at = first.journal.size
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay: whose journal is whose, what one tells the other, no client turned away."""
+"""An upgrade of the running program: no client is refused, nothing is lost, and a kill of either process."""
 
 import asyncio
 import os
@@ -17,9 +17,10 @@
 
 
 class Running(Staffed, unittest.IsolatedAsyncioTestCase):
-    """The program, twice."""
+    """Two processes of the program at the same address."""
 
     async def second(self):
+        """Start a second process; returns the first one."""
         self.ops = f"127.0.0.1:{free_port()}"
         began = time.monotonic()
         first, self.process = self.process, await self.run_it(f"{self.folder}/config.json", LB_OPS=self.ops)
@@ -33,6 +34,7 @@
         return first
 
     async def steadily(self, seen):
+        """Hand in notifications until self.stop, and collect the statuses."""
         n = 0
         while not self.stop:
             n += 1
@@ -57,7 +59,7 @@
         self.assertEqual((set(seen), self.says), ({TAKEN}, {200}))
         while (await self.figures())["lb_in_progress", ()]:
             await asyncio.sleep(0.02)
-        self.assertEqual(self.seen, len(seen))  # each once
+        self.assertEqual(self.seen, len(seen))  # each is delivered once
         self.assertEqual([f for f in os.listdir(self.folder) if f.startswith("owed")], ["owed"])
 
     async def test_if_the_old_process_is_killed_the_new_one_adopts_its_notifications(self):
@@ -70,7 +72,7 @@
         self.failing = b""
         await self.until(handled("again", "passed"), 1)
         gaps = [later - before for before, later in zip(self.times, self.times[1:], strict=False)]
-        self.assertGreater(min(gaps), 2.4)  # the wait holds for both of them
+        self.assertGreater(min(gaps), 2.4)  # the retry delay holds for both processes
 
     async def test_if_the_new_process_is_killed_the_old_one_continues_to_serve(self):
         first = await self.second()
@@ -87,23 +89,23 @@
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), TAKEN)
 
     async def test_a_connection_with_invalid_messages_is_closed_without_other_effect(self):
-        for word in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
+        for message in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
             with socket.socket(socket.AF_UNIX) as caller:
                 caller.connect(f"{self.folder}/line")
-                caller.sendall(word)
+                caller.sendall(message)
                 await asyncio.sleep(0.05)
         self.assertEqual(await self.ask("POST", "/api"), TAKEN)
         self.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
-        self.assertEqual(await self.ask("GET", "/_health"), REFUSED)  # none of them is waited for
+        self.assertEqual(await self.ask("GET", "/_health"), REFUSED)  # it does not wait for such a successor
 
     async def test_a_predecessor_with_invalid_messages_does_not_prevent_a_start(self):
         self.process.kill()
         await self.process.wait()
-        for word in (b'["learnt"]\n', b'["learnt",7,7]\n', b'["learnt",{"routes":7},[["a",[[1]]],4]]\n'):
-            def connected(conn, word=word):
+        for message in (b'["learnt"]\n', b'["learnt",7,7]\n', b'["learnt",{"routes":7},[["a",[[1]]],4]]\n'):
+            def connected(conn, message=message):
                 channel = hand_over(conn, None)
-                channel.conn.sendall(word)
+                channel.conn.sendall(message)
                 self.addCleanup(channel.conn.close)
 
             listener = ChannelListener(self.folder, connected)
@@ -125,7 +127,7 @@
             sys.executable, "-m", "ryestack", env=env, stderr=asyncio.subprocess.DEVNULL)
         self.assertEqual(await bad.wait(), 2)
         self.assertEqual(await self.ask("POST", "/api"), TAKEN)
-        self.process.send_signal(signal.SIGTERM)  # a stop as ever: it says so at the door
+        self.process.send_signal(signal.SIGTERM)  # an ordinary stop, which clients see at the health address
         await asyncio.sleep(0.1)
         self.assertEqual(await self.ask("GET", "/_health"), REFUSED)
 
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -1,4 +1,4 @@
-"""The last moments of a process: what is decided then must not look to the next one as if it may have run."""
+"""The end of a process: a push decided then must not look to the next process as if it may have run."""
 
 import asyncio
 import unittest
@@ -15,22 +15,25 @@
 
 
 class Dispatcher:
-    """Holds each push until it is closed; then its outcomes come, as those of calls that are cut off do."""
+    """Holds each push until it is closed, and then reports outcomes as for aborted calls."""
 
     def __init__(self, tell):
         self.tell, self.started, self.closed = tell, [], False
 
     def start(self, endpoint, items):
         if self.closed:
-            raise AssertionError("a push is started on a dispatcher that is closed")
+            raise AssertionError("a push was started on a closed dispatcher")
         self.started += [(endpoint, item) for item in items]
 
     async def close(self):
-        await asyncio.sleep(0.02)  # rounds of the owner's own task run meanwhile
+        await asyncio.sleep(0.02)  # the owner's task runs rounds meanwhile
         self.closed = True
-        told = [interface.Outcome(i.id, i.push, at, Result.NO_CONNECTION) for at, i in self.started]
+        outcomes = [
+            interface.Outcome(item.id, item.push, endpoint, Result.NO_CONNECTION)
+            for endpoint, item in self.started
+        ]
         self.started = []
-        self.tell(told)
+        self.tell(outcomes)
 
     def forget(self):
         pass
@@ -50,8 +53,8 @@
             owner.recover([relay.parts.directory.known()])
             for name in ("n", "m"):
                 owner.brain.slots = 1 if name == "n" else 0  # the second waits for the slot of the first
-                told = loop.create_future(), loop.create_future()
-                owner.round([HandIn(take(name, due=loop.time() + 9.0), "k", b"x", *told)])
+                answers = loop.create_future(), loop.create_future()
+                owner.round([HandIn(take(name, due=loop.time() + 9.0), "k", b"x", *answers)])
             self.assertEqual([item.id for _, item in owner.dispatcher.started], ["n"])
             task = asyncio.ensure_future(owner.run()) if own_task else None
             await relay.wind_up()
