--- a/ryestack/wire/hand_in.py
+++ b/ryestack/wire/hand_in.py
@@ -11,7 +11,7 @@
 class SubmissionReader:
     """Reads the headers of submissions.
 
-    terms: of(topic type, now) -> its terms and number of pushes, or None. customers: the known names; if
+    terms: lookup(topic type, now) -> terms and number of pushes, or None. customers: the known names; if
     empty, any name is accepted.
     """
 
@@ -26,7 +26,7 @@
         """
         now = self.clock()
         name = forms.check_token(headers.get("X-Request-Id", ""), "X-Request-Id")
-        topic, max_pushes = self.terms.of(headers.get("X-Class", ""), now)
+        topic, max_pushes = self.terms.lookup(headers.get("X-Class", ""), now)
         if topic is None:
             raise forms.BadForm("X-Class names no topic type")
         customer = headers.get("X-Tenant", "")
--- a/tests/test_disk_faults.py
+++ b/tests/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""The folder fails for a while: writes, short ones, truncations and removals, wherever a relay makes them."""
+"""Temporary failures of the folder's disk: failed and short writes, truncations, renames and removals."""
 
 import asyncio
 import errno
@@ -18,11 +18,11 @@
 from .test_lifecycle import Program
 from .test_store import owed
 
-HALF = FRAME.pack(400, 1) + b'["taken"'  # what a kill leaves of a record
+HALF = FRAME.pack(400, 1) + b'["taken"'  # an incomplete record, as a kill leaves it
 
 
 class HalfWrites:
-    """A journal's file that takes half of a write and can't be truncated, while `fails`."""
+    """A journal's file that writes half of the data and cannot be truncated, while `fails` is set."""
 
     def __init__(self, file):
         self.file, self.fails = file, True
@@ -40,8 +40,8 @@
 
 
 class Started(Program, unittest.IsolatedAsyncioTestCase):
-    async def test_a_start_whose_folder_cannot_be_written_serves_and_owes_what_it_owed(self):
-        """A kill left half a record, and the disk fails just as the next process starts."""
+    async def test_a_start_with_an_unwritable_folder_serves_and_keeps_what_is_owed(self):
+        """A kill left an incomplete record, and the disk fails while the next process starts."""
         control = FaultControl(Path(self.folder) / "faults")
         self.addCleanup(control.close)
         faults = control.environment(build(Path(self.folder)), Path(self.folder))
@@ -70,8 +70,8 @@
 
 
 class Adopted(Folder, unittest.TestCase):
-    def test_half_a_copy_that_cannot_be_taken_back_hides_nothing_written_after_it(self):
-        """A process that is gone left a file; its copy behind ours is cut short, and so is its removal."""
+    def test_a_partial_copy_that_cannot_be_truncated_hides_no_later_record(self):
+        """The copy of a dead process's file is written only in part, and truncating that part fails."""
         ours, gone = Ledger(Journal(self.folder, 100_000)), Ledger(Journal(self.folder, 100_000))
         ours.recover()
         gone.recover()
@@ -82,7 +82,7 @@
         ours.journal.file.fails = False
         self.assertTrue(ours.take(owed("later")))
         ours.journal.close()
-        with mock.patch.object(files, "others", lambda *_: []):
+        with mock.patch.object(files, "other_files", lambda *_: []):
             again = Ledger(Journal(self.folder, 100_000))
             again.recover()
         self.addCleanup(again.journal.close)
@@ -90,7 +90,7 @@
         self.assertEqual(again.journal.dropped, 0)
 
     def two(self):
-        """A ledger with a message of its own, and one of a process that is gone beside it."""
+        """A ledger with a notification of its own, and beside it the file of a dead process with another."""
         ours, gone = Ledger(Journal(self.folder, 100_000)), Ledger(Journal(self.folder, 100_000))
         for ledger, name in ((ours, "mine"), (gone, "theirs")):
             ledger.recover()
@@ -99,17 +99,18 @@
         return ours
 
     def again(self):
-        made = Ledger(Journal(self.folder, 100_000))
-        made.recover()
-        self.addCleanup(made.journal.close)
-        return made
+        """The ledger as the next start reads it."""
+        ledger = Ledger(Journal(self.folder, 100_000))
+        ledger.recover()
+        self.addCleanup(ledger.journal.close)
+        return ledger
 
-    def test_a_file_that_cannot_be_taken_away_is_not_taken_over_again(self):
+    def test_a_file_that_cannot_be_removed_is_not_adopted_twice(self):
         ours = self.two()
         with mock.patch.object(Path, "unlink", side_effect=OSError(errno.EIO, "i/o error")):
             self.assertEqual([o.id for o in ours.adopt()], ["theirs"])
-            ours.over("theirs")
-            self.assertEqual((ours.adopt(), ours.stuck), ([], True))
+            ours.finish("theirs")
+            self.assertEqual((ours.adopt(), ours.retry_needed), ([], True))
             ours.rewrite()
             ours.journal.close()
             with_it = Ledger(Journal(self.folder, 100_000))
@@ -118,8 +119,9 @@
         self.assertEqual(list(with_it.owed), ["mine"])
         self.assertEqual((list(self.again().owed), os.listdir(self.folder)), (["mine"], ["owed"]))
 
-    def test_a_start_that_takes_up_the_adopted_file_knows_what_became_of_it_since(self):
-        """Ours is `owed.1` then: the next process finds `owed` free and begins with that one."""
+    def test_a_start_on_an_adopted_file_uses_the_newer_state_of_the_adopter(self):
+        """Our file is `owed.1` then. The next process finds `owed` unlocked and opens that as its own, while
+        `owed.1` has the newer state of the same notifications."""
         gone = Ledger(Journal(self.folder, 100_000))
         gone.recover()
         gone.take(owed("over by now"))
@@ -130,15 +132,16 @@
         with mock.patch.object(Path, "unlink", side_effect=OSError(errno.EIO, "i/o error")):
             ours.adopt()
         ours.push("owed still", 0, 41.0)
-        ours.over("over by now")
+        ours.finish("over by now")
         ours.journal.close()
         for _ in range(2):
             last = self.again()
             self.assertEqual({n: o.pushes for n, o in last.owed.items()}, {"owed still": 1})
             last.journal.close()
 
-    def test_while_nothing_can_be_written_what_a_process_left_is_ours_and_stays_in_its_file_too(self):
-        """Its ends are due all the same; a push waits until it is written, and so does the file's removal."""
+    def test_while_nothing_can_be_written_adopted_notifications_stay_in_the_old_file_too(self):
+        """Their final answers are due all the same. A push waits until it is written, and so does the removal
+        of the file."""
         full = OSError(errno.ENOSPC, "no space left")
         for killed in (False, True):
             ours = self.two()
@@ -150,7 +153,7 @@
                 self.assertTrue(Path(self.folder, "owed.1").exists())
             if not killed:
                 self.assertTrue(ours.push("theirs", 0, 42.0))
-                self.assertEqual((ours.adopt(), ours.journal.beside()), ([], []))
+                self.assertEqual((ours.adopt(), ours.journal.sibling_files()), ([], []))
             ours.journal.close()
             last = self.again()
             self.assertEqual(sorted(last.owed), ["mine", "theirs"])
@@ -159,15 +162,15 @@
             for name in os.listdir(self.folder):
                 os.unlink(f"{self.folder}/{name}")
 
-    def test_a_file_that_cannot_be_opened_for_a_moment_is_taken_over_later(self):
+    def test_a_file_that_cannot_be_opened_for_a_moment_is_adopted_later(self):
         ours, real = self.two(), files.lock
         busy = OSError(errno.ENFILE, os.strerror(errno.ENFILE))
         with mock.patch.object(files, "lock", side_effect=busy):
-            self.assertEqual((ours.adopt(), ours.stuck), ([], True))
+            self.assertEqual((ours.adopt(), ours.retry_needed), ([], True))
         self.assertIs(files.lock, real)
         self.assertEqual([owed.id for owed in ours.adopt()], ["theirs"])
 
-    def test_what_an_earlier_rewrite_left_is_no_part_of_the_next(self):
+    def test_the_remains_of_an_earlier_rewrite_are_not_part_of_the_next(self):
         ours = self.two()
         file = Path(self.folder, "owed.new")
         file.write_bytes(b"half a rewrite that could not be taken away")
@@ -175,7 +178,7 @@
         ours.journal.close()
         self.assertEqual(sorted(self.again().owed), ["mine", "theirs"])
 
-    def test_times_of_a_file_with_another_timeline_are_told_on_ours(self):
+    def test_times_of_a_file_with_another_timeline_are_converted_to_ours(self):
         began = MachineClock("boot", 100.0, 1_000.0)
         stepped = MachineClock("boot", 150.0, 4_650.0)
         gone = Ledger(Journal(self.folder, 100_000), lambda: began)
@@ -183,12 +186,12 @@
         gone.take(owed("n"))
         gone.push("n", 0, 41.0)
         ours = Ledger(Journal(self.folder, 100_000), lambda: stepped)
-        with mock.patch.object(Ledger, "timeline_beside", return_value=None):
+        with mock.patch.object(Ledger, "timeline_of_other_files", return_value=None):
             ours.recover()
         gone.journal.close()
         [found] = ours.adopt()
         shift = ours.timeline.offset - gone.timeline.offset
-        self.assertEqual((shift, found.due, found.open), (3_600.0, 3_650.0, {0: 3_641.0}))
+        self.assertEqual((shift, found.due, found.open_pushes), (3_600.0, 3_650.0, {0: 3_641.0}))
         ours.journal.close()
         self.assertEqual(self.again().owed["n"].due, 3_650.0)
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -107,10 +107,12 @@
     async def test_second_final_answer_is_not_sent(self):
         o = self.owner()
         o.round([self.hand_in("n")])
-        o.fresh = {}
+        o.new_hand_ins = {}
         for _ in range(2):
             o.end(interface.Expire("n"))
-        self.assertEqual(([name for name, _ in self.told], o.invariants.counts[Rule.TWO_ENDS]), (["n"], 1))
+        self.assertEqual(
+            ([name for name, _ in self.sent_notices], o.invariants.counts[Rule.TWO_ENDS]), (["n"], 1)
+        )
 
     async def test_pushes_are_not_used_up_while_the_journal_fails(self):
         o, message = self.owner(max_pushes=2), self.hand_in("n")
@@ -122,7 +124,7 @@
             self.now += 0.1
             o.round([*o.take_queue(), TimerFired()])
         self.assertGreater(o.unsent[Unsent.NOT_WRITTEN], 5)
-        self.assertEqual((self.sent, self.told), ([("n", 0)], []))
+        self.assertEqual((self.sent, self.sent_notices), ([("n", 0)], []))
         o.ledger.push = real
         for _ in range(20):
             self.now += 0.1
@@ -139,7 +141,7 @@
             verdicts.append(message.verdict.result()[0])
         self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.REJECTED, Verdict.THROTTLED])
         self.assertEqual(o.refused, {Refusal.ID_IN_USE: 1, Refusal.DECIDED: 1})
-        o.emptied = True
+        o.drained = True
         o.round([self.hand_in("o")])
         self.assertEqual(o.refused[Refusal.DRAINED], 1)
 
--- a/tests/test_peers_config.py
+++ b/tests/test_peers_config.py
@@ -106,13 +106,13 @@
 def test_a_new_life_waits_until_it_can_be_written_and_an_unwritten_end_of_one_is_repeated(tmp_path):
     lives = Incarnations(str(tmp_path), True)
     first = lives.life
-    assert lives.next(first + 1) and lives.before == [first]
+    assert lives.begin_next(first + 1) and lives.unfinished == [first]
     lives.path = tmp_path / "none" / "lives"  # cannot be written
-    assert not lives.next(first + 2) and (lives.life, lives.before) == (first + 1, [first])
-    lives.done({first})
-    assert lives.before == [first]
+    assert not lives.begin_next(first + 2) and (lives.life, lives.unfinished) == (first + 1, [first])
+    lives.forget({first})
+    assert lives.unfinished == [first]
     again = Incarnations(str(tmp_path), True)
-    assert again.before == [first, first + 1] and again.life > first + 1 and again.sole
+    assert again.unfinished == [first, first + 1] and again.life > first + 1 and again.sole
 
 
 def test_old_lives_duplicates_and_a_second_relay_of_a_name_are_refused_unless_its_folder_proves_it_is_sole():
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -45,21 +45,21 @@
     "data", [b"", b"[]", b"{", b'{"clock":"x","wall":1,"learnt":{}}', b"[" * 100_000, b"\xff"]
 )
 def test_unreadable_file_is_ignored(tmp_path, data):
-    for name in (remembered.NAME, remembered.FAILING):
+    for name in (remembered.LEARNT, remembered.FAILING):
         (tmp_path / name).write_bytes(data)
     assert remembered.load(str(tmp_path), "s", NOW) == remembered.Remembered(None, {})
 
 
 def test_damaged_file_is_ignored_though_it_parses(tmp_path):
     remembered.save(str(tmp_path), learned_state.export(Brain(settings(), 1)), "s", NOW)
-    good = (tmp_path / remembered.NAME).read_bytes()
+    good = (tmp_path / remembered.LEARNT).read_bytes()
     assert remembered.load(str(tmp_path), "s", SOON).learnt is not None
-    (tmp_path / remembered.NAME).write_bytes(good.replace(b'"bins":[', b'"bins":["x",', 1))
+    (tmp_path / remembered.LEARNT).write_bytes(good.replace(b'"bins":[', b'"bins":["x",', 1))
     assert remembered.load(str(tmp_path), "s", SOON).learnt is None
 
 
 def test_too_large_state_or_missing_folder_is_not_saved(tmp_path):
-    remembered.save(str(tmp_path), {"x": "y" * remembered.MOST}, "s", NOW)
+    remembered.save(str(tmp_path), {"x": "y" * remembered.MAX_TOTAL_BYTES}, "s", NOW)
     remembered.save(str(tmp_path / "none"), {}, "s", NOW)
     assert not list(tmp_path.iterdir())
 
@@ -69,7 +69,7 @@
     remembered.save_failing(str(tmp_path), failing, NOW)
     size = (tmp_path / remembered.FAILING).stat().st_size
     found = remembered.load(str(tmp_path), "s", SOON).failing
-    assert size <= remembered.MOST_OF[remembered.FAILING] // 2
+    assert size <= remembered.MAX_FILE_BYTES[remembered.FAILING] // 2
     assert 500 < len(found) < 5000 and min(found.values()) > max(
         at for name, at in failing.items() if name not in found
     )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,3 +1,5 @@
+"""The ledger and its journal: records, rewrites, disk limits, damage."""
+
 import tempfile
 import unittest
 from pathlib import Path
@@ -9,6 +11,7 @@
 
 
 def owed(name, body=b"\x00\r\n body", **more):
+    """An open once-only notification to destination 7, due at 50.0."""
     return Owed(name, 50.0, 7, "once", "c", "", "k", body, **more)
 
 
@@ -18,18 +21,18 @@
         self.addCleanup(folder.cleanup)
         self.folder, self.last = folder.name, None
 
-    def test_a_message_comes_back_as_it_was(self):
+    def test_a_notification_is_restored_unchanged(self):
         self.ledger().take(owed("n"))
         self.assertEqual(self.ledger().owed, {"n": owed("n", size=self.size(owed("n")))})
 
     def ledger(self, allowance=100_000):
-        """As a start finds the folder: the process before, if any, is dead and holds nothing."""
+        """The ledger as a start reads it, after the previous process, if any, has died."""
         if self.last:
             self.last.journal.close()
-        self.last = made = Ledger(Journal(self.folder, allowance))
-        made.recover()
-        self.addCleanup(made.journal.close)
-        return made
+        self.last = ledger = Ledger(Journal(self.folder, allowance))
+        ledger.recover()
+        self.addCleanup(ledger.journal.close)
+        return ledger
 
     def size(self, one):
         return len(one.body) + 512
@@ -39,17 +42,17 @@
         first.take(owed("n"))
         first.push("n", 0, 41.0)
         back = self.ledger().owed["n"]
-        self.assertEqual((back.pushes, back.first_maybe()), (1, 41.0))
+        self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, 41.0))
 
-    def test_a_push_that_never_ran_leaves_no_doubt_and_counts(self):
+    def test_a_push_that_never_ran_counts_but_cannot_have_run(self):
         first = self.ledger()
         first.take(owed("n"))
         first.push("n", 0, 41.0)
         first.outcome("n", 0, True)
         back = self.ledger().owed["n"]
-        self.assertEqual((back.pushes, back.first_maybe()), (1, float("inf")))
+        self.assertEqual((back.pushes, back.first_may_have_run_at()), (1, float("inf")))
 
-    def test_a_torn_tail_is_dropped_and_the_file_goes_on(self):
+    def test_a_torn_tail_is_dropped_and_appending_continues(self):
         first = self.ledger()
         first.take(owed("n"))
         whole = first.journal.size
@@ -63,34 +66,35 @@
             self.assertEqual(list(self.ledger().owed), ["n", "m"])
 
     def test_old_and_new_file_stay_within_the_allowance(self):
-        kept, most = self.ledger(40_000), 0
+        kept, max_bytes = self.ledger(40_000), 0
         write = kept.journal.rewrite
 
         def rewrite(payloads):
-            nonlocal most
+            nonlocal max_bytes
             before = kept.journal.size
             write(payloads)
-            most = max(most, before + kept.journal.size)
+            max_bytes = max(max_bytes, before + kept.journal.size)
 
         kept.journal.rewrite = rewrite
         for i in range(500):
             kept.take(owed(f"n{i}", b"x" * 300))
             kept.push(f"n{i}", 0, 41.0)
             if i > 5:
-                kept.over(f"n{i - 5}")
+                kept.finish(f"n{i - 5}")
             self.assertLess(kept.journal.size, 40_000)
-        self.assertTrue(0 < most < 40_000)
+        self.assertTrue(0 < max_bytes < 40_000)
         self.assertEqual(len(self.ledger(40_000).owed), 6)
 
-    def test_a_file_of_what_is_over_is_rewritten_long_before_it_is_full(self):
+    def test_a_file_of_dead_records_is_rewritten_long_before_it_is_full(self):
         kept = self.ledger(3_000_000)
         for i in range(2000):
             kept.take(owed(f"n{i}", b"x" * 200))
-            kept.over(f"n{i}")
+            kept.finish(f"n{i}")
         self.assertLess(kept.journal.size, 110_000)
 
-    def test_hardly_anything_dead_is_no_reason_to_write_all_anew_at_each_record(self):
-        """As when a process of an upgrade owes most of what half of the allowance holds: 807 were lost so."""
+    def test_few_dead_bytes_do_not_cause_a_rewrite_per_record(self):
+        """During an upgrade the allowance is halved. A process whose live records fill most of that half
+        rewrote its file at each record and blocked: 807 notifications were lost."""
         ledger, written = self.ledger(1_000_000), []
         taken = sum(ledger.take(owed(f"n{n}", b"x" * 212)) for n in range(600))
         ledger.journal.share(2)
@@ -102,20 +106,20 @@
         self.assertLess(ledger.journal.size, 500_000)
         self.assertEqual((len(self.ledger(1_000_000).owed), taken > 500), (taken, True))
 
-    def test_a_rewrite_keeps_doubt_order_and_notices(self):
+    def test_a_rewrite_keeps_push_history_order_and_notices(self):
         first = self.ledger()
         for name in "nmo":
             first.take(owed(name))
             first.push(name, 0, 41.0)
         first.outcome("m", 0, True)
         first.owe_notice("o", {"state": "failed"})
-        first.journal.rewrite([p for one in first.owed.values() for p in first.summary(one)])
+        first.journal.rewrite([p for one in first.owed.values() for p in first.records_of(one)])
         back = self.ledger()
         self.assertEqual(list(back.owed), ["n", "m", "o"])
-        self.assertEqual([o.first_maybe() for o in back.owed.values()][:2], [41.0, float("inf")])
+        self.assertEqual([o.first_may_have_run_at() for o in back.owed.values()][:2], [41.0, float("inf")])
         self.assertEqual((back.owed["o"].notice, back.owed["o"].body), ({"state": "failed"}, b""))
-        back.outcome("n", 0, True)  # the push that was out at the rewrite turns out not to have run
-        self.assertEqual(self.ledger().owed["n"].first_maybe(), float("inf"))
+        back.outcome("n", 0, True)  # the push that was in flight at the rewrite never ran
+        self.assertEqual(self.ledger().owed["n"].first_may_have_run_at(), float("inf"))
 
     def test_nearly_full_has_no_room(self):
         kept, taken = self.ledger(60_000), 0
@@ -124,7 +128,7 @@
             taken += 1
         self.assertTrue(5 < taken < 20)
 
-    def test_a_record_cut_short_by_the_disk_leaves_no_trace(self):
+    def test_a_short_write_leaves_no_trace(self):
         kept = self.ledger()
         kept.take(owed("n"))
         file = kept.journal.file
@@ -134,7 +138,7 @@
         kept.take(owed("o"))
         self.assertEqual(list(self.ledger().owed), ["n", "o"])
 
-    def test_what_could_not_be_written_is_in_the_file_once_it_can(self):
+    def test_unwritten_facts_are_in_the_file_after_the_next_write(self):
         kept = self.ledger()
         kept.take(owed("n"))
         append, kept.journal.append = kept.journal.append, self.no_room
@@ -146,16 +150,16 @@
     def no_room(self, _):
         raise OSError("no space left")
 
-    def test_after_a_rewrite_the_file_goes_on_without_being_opened_again(self):
+    def test_appending_continues_after_a_rewrite_without_reopening(self):
         kept = self.ledger()
         kept.take(owed("n"))
-        kept.journal.rewrite([p for o in kept.owed.values() for p in kept.summary(o)])
+        kept.journal.rewrite([p for o in kept.owed.values() for p in kept.records_of(o)])
         kept.journal.file.write(b"part")
         kept.journal.file.truncate(kept.journal.size)
         kept.take(owed("m"))
         self.assertEqual(list(self.ledger().owed), ["n", "m"])
 
-    def test_what_a_kill_left_of_a_rewrite_is_removed(self):
+    def test_an_unfinished_rewrite_is_removed_at_the_start(self):
         self.ledger().take(owed("n"))
         Path(self.folder, "owed.new").write_bytes(b"half")
         self.assertEqual(list(self.ledger().owed), ["n"])
@@ -166,7 +170,7 @@
     setUp, ledger = Store.setUp, Store.ledger
 
     def damaged(self):
-        """A file of n, m and a push of n, with a bit of m's record turned over."""
+        """A file with records of n, m and a push of n, and a flipped bit in m's record."""
         first = self.ledger()
         first.take(owed("n"))
         at = first.journal.size
@@ -178,12 +182,14 @@
         path.write_bytes(data)
         first.journal.close()
 
-    def test_within_the_file_puts_what_came_before_in_doubt_for_all_lives_to_come(self):
+    def test_damage_within_the_file_marks_earlier_notifications_as_possibly_run_at_every_start(self):
         self.damaged()
         for _ in range(2):
-            self.assertEqual({n: o.first_maybe() for n, o in self.ledger().owed.items()}, {"n": 0.0})
+            self.assertEqual(
+                {name: one.first_may_have_run_at() for name, one in self.ledger().owed.items()}, {"n": 0.0}
+            )
 
-    def test_a_kill_or_a_full_disk_before_it_is_written_anew_finds_the_damage_again(self):
+    def test_damage_is_found_again_after_a_kill_or_a_full_disk_before_the_rewrite(self):
         self.damaged()
         read = Journal(self.folder, 100_000)
         read.read()
@@ -191,9 +197,9 @@
         blocked = Ledger(Journal(self.folder, 100_000))
         blocked.journal.rewrite = self.no_room
         blocked.recover()
-        self.assertEqual((blocked.well, blocked.take(owed("o"))), (False, False))
+        self.assertEqual((blocked.in_sync, blocked.take(owed("o"))), (False, False))
         blocked.journal.close()
-        self.assertEqual(self.ledger().owed["n"].first_maybe(), 0.0)
+        self.assertEqual(self.ledger().owed["n"].first_may_have_run_at(), 0.0)
 
     def no_room(self, _):
         raise OSError("no space left")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -73,7 +73,7 @@
 class LoopErrors(unittest.IsolatedAsyncioTestCase):
     async def test_a_connection_error_inside_the_library_is_not_logged_as_an_error(self):
         loop, lines = asyncio.get_running_loop(), []
-        loop.set_exception_handler(loop_errors.tell)
+        loop.set_exception_handler(loop_errors.handle_loop_error)
         log.setup("r", level="DEBUG", sink=lines.append)
         self.addCleanup(log.setup)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay: whose journal is whose, what one tells the other, no client turned away."""
+"""An upgrade of the running program: no client is refused, nothing is lost, and a kill of either process."""
 
 import asyncio
 import os
@@ -17,9 +17,10 @@
 
 
 class Running(Staffed, unittest.IsolatedAsyncioTestCase):
-    """The program, twice."""
+    """Two processes of the program at the same address."""
 
     async def second(self):
+        """Start a second process; returns the first one."""
         self.ops = f"127.0.0.1:{free_port()}"
         began = time.monotonic()
         first, self.process = self.process, await self.run_it(f"{self.folder}/config.json", LB_OPS=self.ops)
@@ -33,6 +34,7 @@
         return first
 
     async def steadily(self, seen):
+        """Hand in notifications until self.stop, and collect the statuses."""
         n = 0
         while not self.stop:
             n += 1
@@ -41,7 +43,7 @@
             self.says.add(await self.ask("GET", "/_health"))
             await asyncio.sleep(0.01)
 
-    async def test_nobody_is_turned_away_and_a_third_takes_over_from_the_second(self):
+    async def test_no_client_is_refused_over_two_upgrades_in_a_row(self):
         seen, self.says = [], set()
         self.stop = False
         task = asyncio.ensure_future(self.steadily(seen))
@@ -57,10 +59,10 @@
         self.assertEqual((set(seen), self.says), ({ACCEPTED}, {200}))
         while (await self.metrics())["lb_in_progress", ()]:
             await asyncio.sleep(0.02)
-        self.assertEqual(self.calls, len(seen))  # each once
+        self.assertEqual(self.calls, len(seen))  # each is delivered once
         self.assertEqual([f for f in os.listdir(self.folder) if f.startswith("owed")], ["owed"])
 
-    async def test_the_old_one_killed_the_new_one_owes_what_it_owed(self):
+    async def test_if_the_old_process_is_killed_the_new_one_adopts_its_notifications(self):
         self.answer = http(429, X_Retry_In_Ms="2500")
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "n"}), ACCEPTED)
         first = await self.second()
@@ -70,9 +72,9 @@
         self.answer = b""
         await self.until(handled("again", "passed"), 1)
         gaps = [later - before for before, later in zip(self.times, self.times[1:], strict=False)]
-        self.assertGreater(min(gaps), 2.4)  # the wait holds for both of them
+        self.assertGreater(min(gaps), 2.4)  # the retry delay holds for both processes
 
-    async def test_the_new_one_killed_the_old_one_serves_on_as_before(self):
+    async def test_if_the_new_process_is_killed_the_old_one_continues_to_serve(self):
         first = await self.second()
         for n in range(4):
             self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": f"n{n}"}), ACCEPTED)
@@ -86,24 +88,25 @@
         self.assertEqual(await asyncio.wait_for(again.wait(), 3.7), 0)
         self.assertEqual(await self.ask("POST", "/api", **{"X-Request-Id": "o"}), ACCEPTED)
 
-    async def test_a_caller_that_speaks_nonsense_is_let_go_and_nothing_else_happens(self):
-        for word in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
+    async def test_a_connection_with_invalid_messages_is_closed_without_other_effect(self):
+        for message in (b'["began"]\n', b'["ended",1,2]\n', b'["began","a",[["n",0]]]\n', b"\0\n"):
             with socket.socket(socket.AF_UNIX) as caller:
                 caller.connect(f"{self.folder}/line")
-                caller.sendall(word)
+                caller.sendall(message)
                 await asyncio.sleep(0.05)
         self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
         self.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
-        self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)  # none of them is waited for
+        # It does not wait for such a successor.
+        self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)
 
-    async def test_an_elder_that_tells_nonsense_is_no_reason_not_to_start(self):
+    async def test_a_predecessor_with_invalid_messages_does_not_prevent_a_start(self):
         self.process.kill()
         await self.process.wait()
-        for word in (b'["learnt"]\n', b'["learnt",7,7]\n', b'["learnt",{"routes":7},[["a",[[1]]],4]]\n'):
-            def connected(conn, word=word):
+        for message in (b'["learnt"]\n', b'["learnt",7,7]\n', b'["learnt",{"routes":7},[["a",[[1]]],4]]\n'):
+            def connected(conn, message=message):
                 channel = hand_over(conn, None)
-                channel.conn.sendall(word)
+                channel.conn.sendall(message)
                 self.addCleanup(channel.conn.close)
 
             listener = ChannelListener(self.folder, connected)
@@ -114,7 +117,7 @@
             await self.process.wait()
             listener.close()
 
-    async def test_one_that_cannot_start_changes_nothing(self):
+    async def test_a_process_that_cannot_start_changes_nothing(self):
         path = f"{self.folder}/config.json"
         with open(path) as file:
             good = file.read()
@@ -125,7 +128,7 @@
             sys.executable, "-m", "ryestack", env=env, stderr=asyncio.subprocess.DEVNULL)
         self.assertEqual(await bad.wait(), 2)
         self.assertEqual(await self.ask("POST", "/api"), ACCEPTED)
-        self.process.send_signal(signal.SIGTERM)  # a stop as ever: it says so at the door
+        self.process.send_signal(signal.SIGTERM)  # an ordinary stop, which clients see at the health address
         await asyncio.sleep(0.1)
         self.assertEqual(await self.ask("GET", "/_health"), UNAVAILABLE)
 
--- a/tests/test_winding_up.py
+++ b/tests/test_winding_up.py
@@ -1,9 +1,9 @@
-"""The last moments of a process: what is decided then must not look to the next one as if it may have run."""
+"""The end of a process: a push decided then must not look to the next process as if it may have run."""
 
 import asyncio
 import unittest
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lifecycle.config import load
 from ryestack.lifecycle.relay import Relay
@@ -15,22 +15,25 @@
 
 
 class Dispatcher:
-    """Holds each push until it is closed; then its outcomes come, as those of calls that are cut off do."""
+    """Holds each push until it is closed, and then reports outcomes as for aborted calls."""
 
     def __init__(self, tell):
         self.tell, self.started, self.closed = tell, [], False
 
     def start(self, endpoint, items):
         if self.closed:
-            raise AssertionError("a push is started on a dispatcher that is closed")
+            raise AssertionError("a push was started on a closed dispatcher")
         self.started += [(endpoint, item) for item in items]
 
     async def close(self):
-        await asyncio.sleep(0.02)  # rounds of the owner's own task run meanwhile
+        await asyncio.sleep(0.02)  # the owner's task runs rounds meanwhile
         self.closed = True
-        told = [it.Outcome(i.id, i.push, at, Result.NO_CONNECTION) for at, i in self.started]
+        outcomes = [
+            interface.Outcome(item.id, item.push, endpoint, Result.NO_CONNECTION)
+            for endpoint, item in self.started
+        ]
         self.started = []
-        self.tell(told)
+        self.tell(outcomes)
 
     def drop_removed_endpoints(self):
         pass
@@ -39,7 +42,7 @@
 
 
 class WindingUp(Folder, unittest.IsolatedAsyncioTestCase):
-    async def test_no_push_is_decided_once_the_courier_closes_and_an_untried_one_stays_untried(self):
+    async def test_no_push_starts_once_the_dispatcher_closes_and_an_unsent_one_stays_unsent(self):
         for own_task in (False, True):
             self.setUp()
             path = config(self.folder, "127.0.0.1:1")
@@ -50,8 +53,8 @@
             owner.recover([relay.parts.directory.initial_list()])
             for name in ("n", "m"):
                 owner.brain.slots = 1 if name == "n" else 0  # the second waits for the slot of the first
-                told = loop.create_future(), loop.create_future()
-                owner.round([Submission(take(name, due=loop.time() + 9.0), "k", b"x", *told)])
+                answers = loop.create_future(), loop.create_future()
+                owner.round([Submission(take(name, due=loop.time() + 9.0), "k", b"x", *answers)])
             self.assertEqual([item.id for _, item in owner.dispatcher.started], ["n"])
             task = asyncio.ensure_future(owner.run()) if own_task else None
             await relay.wind_up()
@@ -61,7 +64,7 @@
             kept = Ledger(Journal(self.folder, 3_000_000))
             kept.recover()
             kept.journal.close()
-            found = {o.id: (o.pushes, o.open) for o in kept.owed.values()}
+            found = {o.id: (o.pushes, o.open_pushes) for o in kept.owed.values()}
             self.assertEqual(found, {"n": (1, {}), "m": (0, {})})
 
 
