--- a/ryestack/lifecycle/config.py
+++ b/ryestack/lifecycle/config.py
@@ -89,8 +89,8 @@
 
     try:
         return layers.choose(operator, environ, flags).values
-    except layers.BadOperator as bad:
-        raise BadConfig(str(bad)) from None
+    except layers.BadOperator as error:
+        raise BadConfig(str(error)) from None
 
 
 def _check_peers(chosen: Operator, document: dict, settings: interface.Settings) -> str:
--- a/ryestack/lifecycle/control_machine.py
+++ b/ryestack/lifecycle/control_machine.py
@@ -22,8 +22,8 @@
         return _refuse(f"LB_STATE is {folder or 'not set'}, must name an existing, persistent folder")
     try:
         asyncio.run(_run(control, Path(folder)))
-    except (BadStorage, _AddressInUse) as bad:
-        return _refuse(str(bad))
+    except (BadStorage, _AddressInUse) as error:
+        return _refuse(str(error))
     except OSError as problem:
         log.event("relay.ended", why=str(problem))
         return 1
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -47,9 +47,7 @@
         self.counts = Counter()
         self.retries: Counter[str] = Counter()  # retried pushes by the result of the previous push
         self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and result
-        self.new_hand_ins: dict[
-            str, HandIn
-        ] = {}  # hand-ins of the current round that are not in the journal yet
+        self.new_hand_ins: dict[str, HandIn] = {}  # of the current round, not in the journal yet
 
     # -- the queue --------------------------------------------------------------------------------
 
--- a/ryestack/lifecycle/relay.py
+++ b/ryestack/lifecycle/relay.py
@@ -197,9 +197,9 @@
         try:
             reread = load(before=self.config)
             settings = self.settings_after(reread)
-        except BadConfig as bad:
+        except BadConfig as error:
             self.loads["rejected"] += 1
-            event("config.kept", why=str(bad))
+            event("config.kept", why=str(error))
             return
         self.loads["accepted"] += 1
         if self.parts.platform.move(reread.discovery):
--- a/ryestack/lifecycle/replication/incarnations.py
+++ b/ryestack/lifecycle/replication/incarnations.py
@@ -11,8 +11,8 @@
 
 
 class Incarnations:
-    """before: earlier lives that may have open notifications; life: the number of this one; sole: no other
-    process of this relay is running."""
+    """unfinished: earlier lives that may have open notifications; life: the number of this one; sole: no
+    other process of this relay is running."""
 
     def __init__(self, folder: str, sole: bool):
         self.path, self.unfinished = Path(folder) / FILE_NAME, []
--- a/ryestack/lifecycle/service.py
+++ b/ryestack/lifecycle/service.py
@@ -31,13 +31,13 @@
 
             return serve_machine(chosen, environ)
         config = load(environ, chosen=chosen)
-    except BadConfig as bad:
-        return _refuse(bad)
+    except BadConfig as error:
+        return _refuse(error)
     return _serve_relay(config)
 
 
-def _refuse(bad: BadConfig) -> int:
-    for line in str(bad).splitlines():
+def _refuse(error: BadConfig) -> int:
+    for line in str(error).splitlines():
         print(f"ryestack: {line}", file=sys.stderr)
     return 2
 
@@ -47,8 +47,8 @@
     log.setup(config.name, chosen.format, chosen.level, chosen.repeat)
     try:
         asyncio.run(_serve(config))
-    except BadConfig as bad:  # found only at the start: an address in use, a name that another relay has
-        return _refuse(bad)
+    except BadConfig as error:  # found only at the start: an address in use, a name that another relay has
+        return _refuse(error)
     except OSError as problem:
         log.event("relay.ended", why=str(problem))
         return 1
--- a/ryestack/lifecycle/upgrade/succession.py
+++ b/ryestack/lifecycle/upgrade/succession.py
@@ -6,8 +6,8 @@
 
 # (state, event) -> next state; an event that is not listed changes nothing.
 PREDECESSOR = {
-    ("none", "found"): "there",
-    ("there", "gone"): "none",
+    ("none", "found"): "running",
+    ("running", "gone"): "none",
 }
 SUCCESSOR = {
     ("none", "connected"): "starting",  # it does not serve clients yet: a stop still announces itself to them
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -68,56 +68,56 @@
 
 
 def _inspect(path: Path) -> JournalReport:
-    found = JournalReport(str(path), rewrite_pending=files.replacement_path(path).exists())
+    report = JournalReport(str(path), rewrite_pending=files.replacement_path(path).exists())
     try:
         data = path.read_bytes() if path.exists() else b""
     except OSError as problem:
         raise NoJournal(f"{path}: {problem.strerror}") from None
-    found.size = len(data)
+    report.size = len(data)
     ledger, offset, first = Ledger(None), 0, True
     while offset < len(data):
         records, length = decode_frames(data[offset:])
-        _apply(found, ledger, records, offset)
+        _apply(report, ledger, records, offset)
         offset += length
         if first:
-            found.owed = {name: _copy(owed) for name, owed in ledger.owed.items()}
+            report.owed = {name: _copy(owed) for name, owed in ledger.owed.items()}
             first = False
         if offset < len(data):
             begin = find_next_frame(data, offset + 1)
-            found.damage.append(Damage(offset, begin - offset, begin == len(data)))
+            report.damage.append(Damage(offset, begin - offset, begin == len(data)))
             offset = begin
-    found.timeline = ledger.timeline
-    found.owed_behind_damage = {
-        owed_id: later for owed_id, later in ledger.owed.items() if owed_id not in found.owed
+    report.timeline = ledger.timeline
+    report.owed_behind_damage = {
+        owed_id: later for owed_id, later in ledger.owed.items() if owed_id not in report.owed
     }
-    return found
+    return report
 
 
-def _apply(found: JournalReport, ledger: Ledger, records: list[bytes], offset: int) -> None:
+def _apply(report: JournalReport, ledger: Ledger, records: list[bytes], offset: int) -> None:
     for payload in records:
         try:
             ledger.apply(payload)
         except (ValueError, KeyError, TypeError, IndexError, AttributeError):
-            found.invalid_offsets.append(offset)
-        found.records += 1
+            report.invalid_offsets.append(offset)
+        report.records += 1
         offset += FRAME.size + len(payload)
 
 
-def _copy(o: Owed) -> Owed:
+def _copy(owed: Owed) -> Owed:
     return Owed(
-        o.id,
-        o.due,
-        o.destination,
-        o.topic,
-        o.customer,
-        o.order_key,
+        owed.id,
+        owed.due,
+        owed.destination,
+        owed.topic,
+        owed.customer,
+        owed.order_key,
         "",
         b"",
-        o.terms,
-        o.pushes,
-        o.may_have_run_at,
-        dict(o.open_pushes),
-        o.notice,
+        owed.terms,
+        owed.pushes,
+        owed.may_have_run_at,
+        dict(owed.open_pushes),
+        owed.notice,
     )
 
 
--- a/ryestack/store/journal.py
+++ b/ryestack/store/journal.py
@@ -116,9 +116,8 @@
         self.size, self.dropped, self.damaged = contents.size, contents.dropped, contents.damaged
         self.identity = FileIdentity.of(self.path, data, contents.size)
         if self.damaged:
-            self.size += (
-                contents.dropped
-            )  # kept until a rewrite: after a kill, the next start must see it too
+            # The damage stays until a rewrite: after a kill, the next start must see it too.
+            self.size += contents.dropped
         elif self.dropped:
             self.truncate_tail()
         return contents.records
