--- a/ryestack/lifecycle/state_saver.py
+++ b/ryestack/lifecycle/state_saver.py
@@ -4,7 +4,7 @@
 import zlib
 
 from ..store import remembered
-from ..store.remembered import Moment, Remembered
+from ..store.remembered import Moment, SavedState
 from .learned_state import KEPT, export, failing
 
 SAVE_LEARNT_INTERVAL_S = 2.0  # the learnt state covers tens of seconds, and saving it takes a moment
@@ -39,7 +39,7 @@
         """Identifies the settings and the format that the learnt state depends on."""
         return str(zlib.crc32(repr((self.config.settings, KEPT)).encode()))
 
-    def saved_state(self) -> Remembered:
+    def saved_state(self) -> SavedState:
         """What the previous process saved."""
         return remembered.load(self.config.state, self.settings_checksum(), self.moment())
 
--- a/ryestack/store/remembered.py
+++ b/ryestack/store/remembered.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Remembered:
+class SavedState:
     """What was loaded. learnt: as learned_state exports it, None if there is none or it is outdated;
     failing: route to the time at which it began to fail."""
 
@@ -63,16 +63,16 @@
     _write(folder, FAILING, {"clock": now.clock, "boot": now.boot, "failing": failing})
 
 
-def load(folder: str, under: str, now: Moment) -> Remembered:
+def load(folder: str, under: str, now: Moment) -> SavedState:
     """What the previous process had learnt; nothing if it is too old or of another boot or settings."""
     full, latest = _read(folder, LEARNT, now), _read(folder, FAILING, now)
     learnt = full.get("learnt") if full and full.get("under") == under else None
     learnt = learnt if isinstance(learnt, dict) else None
     if not latest or (learnt is not None and latest["clock"] < full["clock"]):
-        return Remembered(learnt, {})
+        return SavedState(learnt, {})
     found = latest.get("failing")
     pairs = found.items() if isinstance(found, dict) else ()
-    return Remembered(learnt, {name: began for name, began in pairs if isinstance(began, float)})
+    return SavedState(learnt, {name: began for name, began in pairs if isinstance(began, float)})
 
 
 def _write(folder: str, name: str, table: dict) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,7 +100,7 @@
     return f"HTTP/1.1 {status} x\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
 
-async def called(answer, names=("n",), kind="shared", timeout=1.0, address=None):
+async def push_to(answer, names=("n",), kind="shared", timeout=1.0, address=None):
     """Push notifications in one round to a server that answers so; returns the outcomes and the requests."""
     requests, events = [], asyncio.Queue()
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,7 +8,7 @@
 from ryestack.ports import Item
 from ryestack.wire.calls import Calls
 
-from .helpers import called, http, listed, members, settings, stand_in
+from .helpers import http, listed, members, push_to, settings, stand_in
 
 
 class ToEndpoints(unittest.IsolatedAsyncioTestCase):
@@ -23,14 +23,14 @@
             (410, {}, Result.NOT_SENT, True, 0.0),
             (302, {"Location": "/"}, Result.ERROR, False, 0.0),
         ):
-            [o], _ = await called(lambda *_, s=status, m=more: http(s, **m))
+            [o], _ = await push_to(lambda *_, s=status, m=more: http(s, **m))
             self.assertEqual((o.result, o.ended, o.wait), (result, ended, wait), status)
 
     async def test_what_is_passed_on(self):
-        [o], [(head, body)] = await called(lambda *_: http(200, X_Load='{"x0":0.4,"x1":25}'))
+        [o], [(head, body)] = await push_to(lambda *_: http(200, X_Load='{"x0":0.4,"x1":25}'))
         self.assertEqual((body, o.limit, o.left), (b"body\r\n", 25.0, 0.4))
         for odd in ('{"x0":-1,"x1":25}', '{"x0":"a","x1":25}', '{"x0":0.1}', '{"x0":null,"x1":9}', "[]", "x"):
-            [o], _ = await called(lambda *_, odd=odd: http(200, X_Load=odd))
+            [o], _ = await push_to(lambda *_, odd=odd: http(200, X_Load=odd))
             self.assertEqual(o.left, 1.0, odd)
         self.assertTrue(head.startswith(b"POST /receive HTTP/1.1\r\n"))
         self.assertIn(b"X-Request-Id: n\r\n", head)
@@ -107,9 +107,9 @@
         await calls.close()
 
     async def test_a_refused_connection_never_ran_and_a_broken_one_may_have(self):
-        [o], _ = await called(lambda *_: None)
+        [o], _ = await push_to(lambda *_: None)
         self.assertEqual(o.result, Result.BROKEN)
-        [o], seen = await called(lambda *_: None, address="127.0.0.1:9")
+        [o], seen = await push_to(lambda *_: None, address="127.0.0.1:9")
         self.assertEqual((o.result, seen), (Result.NO_CONNECTION, []))
 
     async def test_a_kept_connection_that_breaks_may_have_run_and_is_not_tried_again(self):
@@ -126,11 +126,11 @@
         self.assertEqual((results, len(heads)), ([(Result.DELIVERED, False), (Result.BROKEN, True)], 2))
 
     async def test_silence_times_out_and_is_not_sent_again(self):
-        [o], seen = await called(lambda *_: b"", timeout=0.1)
+        [o], seen = await push_to(lambda *_: b"", timeout=0.1)
         self.assertEqual((o.result, len(seen)), (Result.TIMED_OUT, 1))
 
     async def test_a_first_line_with_200_counts_though_the_rest_never_comes(self):
-        [o], _ = await called(lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", timeout=0.2)
+        [o], _ = await push_to(lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", timeout=0.2)
         self.assertEqual(o.result, Result.DELIVERED)
 
     async def test_spoilt_answers(self):
@@ -153,7 +153,7 @@
             (b"HTTP/1.1 2000 OK\r\n\r\n", Result.BROKEN),
             (b"HTTP/1.1 100 x\r\n\r\n" * 5000, Result.BROKEN),
         ):
-            [o], _ = await called(lambda *_, raw=raw: raw, timeout=3.0)
+            [o], _ = await push_to(lambda *_, raw=raw: raw, timeout=3.0)
             self.assertEqual((o.result, o.elapsed < 1.0), (result, True), raw[:60])
 
     async def test_a_good_answer_keeps_its_connection(self):
@@ -189,7 +189,7 @@
 
     async def test_a_wait_binds_though_the_rest_of_its_answer_is_spoilt(self):
         said = b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 250\r\nContent-Length: 9\r\n\r\nx"
-        [o], _ = await called(lambda *_: said)
+        [o], _ = await push_to(lambda *_: said)
         self.assertEqual((o.result, o.wait), (Result.BROKEN, 0.25))
 
     async def test_bytes_on_an_idle_connection_answer_no_call(self):
@@ -231,7 +231,7 @@
 
     async def test_several_travel_in_one_call_where_the_kind_takes_them(self):
         said = http(200, b"n done\r\nm busy\r\no void\r\n", X_Retry_In_Ms="100")
-        outcomes, [(head, body)] = await called(lambda *_: said, "nmop", "bulk")
+        outcomes, [(head, body)] = await push_to(lambda *_: said, "nmop", "bulk")
         self.assertTrue(head.startswith(b"POST /receive-many "))
         self.assertTrue(body.startswith(b"n kn 6\r\nbody\r\n\r\nm km 6\r\n"))
         self.assertEqual(
@@ -241,7 +241,7 @@
         )
 
     async def test_a_kind_that_takes_one_gets_a_call_each(self):
-        outcomes, seen = await called(lambda *_: http(200), "nm")
+        outcomes, seen = await push_to(lambda *_: http(200), "nm")
         self.assertEqual([o.result for o in outcomes], [Result.DELIVERED] * 2)
         self.assertEqual({head.split()[1] for head, _ in seen}, {b"/receive"})
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,7 +11,7 @@
 from ryestack.ports import Closed, Verdict
 
 from .test_client_connection import WHOLE, Served
-from .test_owner import OwnerMade
+from .test_owner import OwnerFixture
 
 INF = float("inf")
 AGAIN = it.TopicType("again", it.Effect.REPEATABLE, 2.0, 20.0)
@@ -85,7 +85,7 @@
         self.assertIs(self.check(checks), Rule.WHILE_ENDING)
 
 
-class Refused(OwnerMade, unittest.IsolatedAsyncioTestCase):
+class Refused(OwnerFixture, unittest.IsolatedAsyncioTestCase):
     async def test_a_push_that_would_break_a_rule_is_not_made_and_counts_as_none(self):
         o = self.owner()
         o.round([self.hand_in("n", "once")])
--- a/tests/test_notices_written.py
+++ b/tests/test_notices_written.py
@@ -10,11 +10,11 @@
 from ryestack import interface
 from ryestack.interface import Result
 
-from .helpers import called, http
-from .test_owner import OwnerMade
+from .helpers import http, push_to
+from .test_owner import OwnerFixture
 
 
-class Unwritten(OwnerMade, unittest.IsolatedAsyncioTestCase):
+class Unwritten(OwnerFixture, unittest.IsolatedAsyncioTestCase):
     def failing(self, owner):
         """Every write to the journal fails."""
         full = OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
@@ -65,7 +65,7 @@
                 raise OSError(number, os.strerror(number))
 
             with mock.patch.object(loop, "sock_connect", lambda _, s, a, f=failing: f(s, a)):
-                outcomes, _ = await called(lambda *_: http(200))
+                outcomes, _ = await push_to(lambda *_: http(200))
             self.assertEqual([owner.result for owner in outcomes], [result], errno.errorcode[number])
 
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -15,7 +15,7 @@
 from .helpers import Folder, settings, take
 
 
-class OwnerMade(Folder):
+class OwnerFixture(Folder):
     """An owner in a folder, with a dispatcher and a notice sink that record what they are given."""
 
     def owner(self, folder=None, allowance=100_000, **more):
@@ -53,7 +53,7 @@
         return owner
 
 
-class OwnerTask(OwnerMade, unittest.IsolatedAsyncioTestCase):
+class OwnerTask(OwnerFixture, unittest.IsolatedAsyncioTestCase):
     async def test_a_failed_list_request_is_retried_with_backoff_until_one_succeeds(self):
         owner, asked, loop = self.owner(asks_for_list=True), [], asyncio.get_running_loop()
         owner.directory = SimpleNamespace(ask=lambda: asked.append(self.now))
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -45,7 +45,7 @@
 def test_a_file_that_makes_no_sense_is_nothing(tmp_path, data):
     for name in (remembered.LEARNT, remembered.FAILING):
         (tmp_path / name).write_bytes(data)
-    assert remembered.load(str(tmp_path), "s", NOW) == remembered.Remembered(None, {})
+    assert remembered.load(str(tmp_path), "s", NOW) == remembered.SavedState(None, {})
 
 
 def test_a_damaged_file_is_nothing_though_it_reads_well(tmp_path):
@@ -76,9 +76,9 @@
 def test_what_fails_is_known_if_it_was_written_after_all_that_is_learnt(tmp_path):
     folder, failing = str(tmp_path), {"a": 9.5}
     remembered.save_failing(folder, failing, Moment(9.9, "boot"))
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered(None, failing)
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState(None, failing)
     remembered.save(folder, {"x": 1}, "s", NOW)
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered({"x": 1}, {})
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState({"x": 1}, {})
     remembered.save_failing(folder, failing, Moment(10.1, "boot"))
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered({"x": 1}, failing)
-    assert remembered.load(folder, "s", Moment(12.0, "another")) == remembered.Remembered(None, {})
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState({"x": 1}, failing)
+    assert remembered.load(folder, "s", Moment(12.0, "another")) == remembered.SavedState(None, {})
