--- a/ryestack/lifecycle/admission.py
+++ b/ryestack/lifecycle/admission.py
@@ -90,7 +90,13 @@
 
     def log_taken(self, owed: Owed) -> None:
         if detailed():
-            event("ntf.taken", id=owed.id, destination=owed.destination, topic=owed.topic, pushes=owed.pushes)
+            event(
+                "ntf.taken",
+                id=owed.id,
+                destination=owed.destination,
+                topic=owed.topic_type,
+                pushes=owed.pushes,
+            )
 
     def reject(self, message: HandIn, reason: Refusal, retry_after: float = 0.0) -> None:
         """Refuse without a decision of the module. retry_after: seconds, 0 if none is given."""
--- a/ryestack/lifecycle/ending.py
+++ b/ryestack/lifecycle/ending.py
@@ -39,7 +39,7 @@
             if rule := self.invariants.check_end(owed):
                 self.report_violation(rule, action.id)
                 return
-            self.ended[owed.topic, result] += 1
+            self.ended[owed.topic_type, result] += 1
             notice = {"state": "returned" if throttled else "failed"}
             if retry_after > 0.0:
                 notice["after_ms"] = round(retry_after * 1000.0)
--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -152,7 +152,7 @@
             )
         if outcome.result is Result.DELIVERED or outcome.ended:
             if outcome.result is Result.DELIVERED and outcome.id in self.ledger.owed:
-                self.ended[self.ledger.owed[outcome.id].topic, "delivered"] += 1
+                self.ended[self.ledger.owed[outcome.id].topic_type, "delivered"] += 1
             self.finish(outcome.id)
         else:
             self.ledger.outcome(outcome.id, outcome.push, outcome.result in NEVER_RAN)
--- a/ryestack/lifecycle/pushing.py
+++ b/ryestack/lifecycle/pushing.py
@@ -65,8 +65,8 @@
         """The invariant that the push would violate, if any."""
         may_have_run_at, topic = owed.first_may_have_run_at() - self.wall, None
         if may_have_run_at < inf:
-            topic, _ = decode_terms(owed.topic, owed.terms)
-            topic = topic or next((t for t in self.settings.topic_types if t.name == owed.topic), None)
+            topic, _ = decode_terms(owed.topic_type, owed.terms)
+            topic = topic or next((t for t in self.settings.topic_types if t.name == owed.topic_type), None)
         return self.invariants.check_push(
             push, owed, topic, self.clock(), owed.due - self.wall, may_have_run_at
         )
--- a/ryestack/lifecycle/recovery.py
+++ b/ryestack/lifecycle/recovery.py
@@ -49,8 +49,8 @@
         """Queue open notifications for the module, and send the notices of those that have ended."""
         topics, known = {topic.name for topic in self.settings.topic_types}, []
         for owed in taken_over:
-            terms, max_pushes = decode_terms(owed.topic, owed.terms)
-            if not owed.notice and not terms and owed.topic not in topics:
+            terms, max_pushes = decode_terms(owed.topic_type, owed.terms)
+            if not owed.notice and not terms and owed.topic_type not in topics:
                 self.ledger.owe_notice(owed.id, {"state": "failed"})
             if owed.notice:
                 self.replication.notice_owed(owed, owed.notice, self.notices.add)
@@ -58,7 +58,7 @@
                 may_have_run_at = owed.first_may_have_run_at() - self.wall
                 due = owed.due - self.wall
                 self.log_taken(owed)
-                head = owed.id, due, owed.destination, owed.topic, owed.customer, owed.order_key
+                head = owed.id, due, owed.destination, owed.topic_type, owed.customer, owed.order_key
                 known.append(interface.Notification(*head, owed.pushes, may_have_run_at, terms, max_pushes))
         event("relay.recovered", owed=len(known), notices=len(taken_over) - len(known))
         self.put(known)
--- a/ryestack/lifecycle/replication/record_codec.py
+++ b/ryestack/lifecycle/replication/record_codec.py
@@ -16,7 +16,7 @@
     head = [
         owed.due,
         owed.destination,
-        owed.topic,
+        owed.topic_type,
         owed.customer,
         owed.order_key,
         owed.key,
--- a/ryestack/lifecycle/replication/takeover.py
+++ b/ryestack/lifecycle/replication/takeover.py
@@ -68,9 +68,8 @@
         """Give notifications to the module, as part of the shard, or of none while we may not act on it."""
         covered, wall = self.acts(shard), self.now() + self.owner.wall
         for each in owed:
-            if (
-                each.due <= wall
-            ):  # another relay may have ended it: a shard forgets ended ones at their due time
+            # Another relay may have ended it: a shard forgets ended ones at their due time.
+            if each.due <= wall:
                 each.may_have_run_at = 0.0
             self.unclaimed.pop(each.id, None)
             self.paused.discard(each.id)
--- a/ryestack/lifecycle/upgrade/siblings.py
+++ b/ryestack/lifecycle/upgrade/siblings.py
@@ -49,7 +49,7 @@
     def notify_began(self, endpoint: str, items: list) -> None:
         """Notify the siblings of a call that began."""
         if self.siblings:
-            pushes = [(item.id, item.push, self.ledger.owed[item.id].topic) for item in items]
+            pushes = [(item.id, item.push, self.ledger.owed[item.id].topic_type) for item in items]
             self.notify_siblings("began", endpoint, pushes)
 
     def notify_ended(self, outcome: interface.Outcome) -> None:
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -36,14 +36,12 @@
     path: str
     size: int = 0
     records: int = 0
-    invalid_offsets: list[int] = field(
-        default_factory=list
-    )  # offsets of complete records with invalid content
+    # Offsets of complete records with invalid content.
+    invalid_offsets: list[int] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
     owed: dict[str, Owed] = field(default_factory=dict)
-    owed_behind_damage: dict[str, Owed] = field(
-        default_factory=dict
-    )  # owed by records that a start would drop
+    # Owed by records that a start would drop.
+    owed_behind_damage: dict[str, Owed] = field(default_factory=dict)
     rewrite_pending: bool = False  # an unfinished rewrite of the file exists
     timeline: Timeline | None = None  # of the times in the file; None: they are wall-clock times
 
@@ -108,7 +106,7 @@
         owed.id,
         owed.due,
         owed.destination,
-        owed.topic,
+        owed.topic_type,
         owed.customer,
         owed.order_key,
         "",
@@ -130,7 +128,7 @@
     return {
         "id": owed.id,
         "destination": owed.destination,
-        "topic_type": owed.topic,
+        "topic_type": owed.topic_type,
         "customer": owed.customer,
         "due_in_s": round(owed.due - now, 3),
         "pushes": owed.pushes,
--- a/ryestack/store/owed.py
+++ b/ryestack/store/owed.py
@@ -17,7 +17,7 @@
     id: str
     due: float
     destination: int
-    topic: str
+    topic_type: str
     customer: str
     order_key: str
     key: str
@@ -39,9 +39,9 @@
 
     def effect(self, settings: interface.Settings) -> interface.Effect:
         """The effect of a repeat, by the terms it was accepted under, else by the current settings."""
-        terms, _ = decode_terms(self.topic, self.terms)
+        terms, _ = decode_terms(self.topic_type, self.terms)
         known = {topic.name: topic.effect for topic in settings.topic_types}
-        return terms.effect if terms else known.get(self.topic, interface.Effect.ONCE_ONLY)
+        return terms.effect if terms else known.get(self.topic_type, interface.Effect.ONCE_ONLY)
 
     def shift(self, seconds: float) -> None:
         """Convert its times to another timeline."""
--- a/ryestack/store/records.py
+++ b/ryestack/store/records.py
@@ -23,7 +23,7 @@
             owed.id,
             owed.due,
             owed.destination,
-            owed.topic,
+            owed.topic_type,
             owed.customer,
             owed.order_key,
             owed.key,
