--- a/ryestack/lifecycle/owner.py
+++ b/ryestack/lifecycle/owner.py
@@ -47,7 +47,7 @@
         self.counts = Counter()
         self.retries: Counter[str] = Counter()  # retried pushes by the result of the previous push
         self.ended: Counter[tuple[str, str]] = Counter()  # by topic type and result
-        # Submissions of the current round that are not in the journal yet.
+        # Submissions of the current round, not in the journal yet.
         self.new_hand_ins: dict[str, Submission] = {}
 
     # -- the queue --------------------------------------------------------------------------------
@@ -154,7 +154,7 @@
             )
         if outcome.result is Result.DELIVERED or outcome.ended:
             if outcome.result is Result.DELIVERED and outcome.id in self.ledger.owed:
-                self.ended[self.ledger.owed[outcome.id].topic, "delivered"] += 1
+                self.ended[self.ledger.owed[outcome.id].topic_type, "delivered"] += 1
             self.finish(outcome.id)
         else:
             self.ledger.outcome(outcome.id, outcome.push, outcome.result in NEVER_RAN)
--- a/ryestack/store/inspect.py
+++ b/ryestack/store/inspect.py
@@ -36,14 +36,12 @@
     path: str
     size: int = 0
     records: int = 0
-    invalid_offsets: list[int] = field(
-        default_factory=list
-    )  # offsets of complete records with invalid content
+    # Offsets of complete records with invalid content.
+    invalid_offsets: list[int] = field(default_factory=list)
     damage: list[Damage] = field(default_factory=list)
     owed: dict[str, Owed] = field(default_factory=dict)
-    owed_behind_damage: dict[str, Owed] = field(
-        default_factory=dict
-    )  # owed by records that a start would drop
+    # Owed by records that a start would drop.
+    owed_behind_damage: dict[str, Owed] = field(default_factory=dict)
     rewrite_pending: bool = False  # an unfinished rewrite of the file exists
     timeline: Timeline | None = None  # of the times in the file; None: they are wall-clock times
 
@@ -68,56 +66,56 @@
 
 
 def _inspect(path: Path) -> JournalReport:
-    found = JournalReport(str(path), rewrite_pending=files.replacement_path(path).exists())
+    report = JournalReport(str(path), rewrite_pending=files.replacement_path(path).exists())
     try:
         data = path.read_bytes() if path.exists() else b""
     except OSError as problem:
         raise NoJournal(f"{path}: {problem.strerror}") from None
-    found.size = len(data)
+    report.size = len(data)
     ledger, offset, first = Ledger(None), 0, True
     while offset < len(data):
         records, length = decode_frames(data[offset:])
-        _apply(found, ledger, records, offset)
+        _apply(report, ledger, records, offset)
         offset += length
         if first:
-            found.owed = {name: _copy(owed) for name, owed in ledger.owed.items()}
+            report.owed = {name: _copy(owed) for name, owed in ledger.owed.items()}
             first = False
         if offset < len(data):
             begin = find_next_frame(data, offset + 1)
-            found.damage.append(Damage(offset, begin - offset, begin == len(data)))
+            report.damage.append(Damage(offset, begin - offset, begin == len(data)))
             offset = begin
-    found.timeline = ledger.timeline
-    found.owed_behind_damage = {
-        owed_id: later for owed_id, later in ledger.owed.items() if owed_id not in found.owed
+    report.timeline = ledger.timeline
+    report.owed_behind_damage = {
+        owed_id: later for owed_id, later in ledger.owed.items() if owed_id not in report.owed
     }
-    return found
+    return report
 
 
-def _apply(found: JournalReport, ledger: Ledger, records: list[bytes], offset: int) -> None:
+def _apply(report: JournalReport, ledger: Ledger, records: list[bytes], offset: int) -> None:
     for payload in records:
         try:
             ledger.apply(payload)
         except (ValueError, KeyError, TypeError, IndexError, AttributeError):
-            found.invalid_offsets.append(offset)
-        found.records += 1
+            report.invalid_offsets.append(offset)
+        report.records += 1
         offset += FRAME.size + len(payload)
 
 
-def _copy(o: Owed) -> Owed:
+def _copy(owed: Owed) -> Owed:
     return Owed(
-        o.id,
-        o.due,
-        o.destination,
-        o.topic,
-        o.customer,
-        o.order_key,
+        owed.id,
+        owed.due,
+        owed.destination,
+        owed.topic_type,
+        owed.customer,
+        owed.order_key,
         "",
         b"",
-        o.terms,
-        o.pushes,
-        o.may_have_run_at,
-        dict(o.open_pushes),
-        o.notice,
+        owed.terms,
+        owed.pushes,
+        owed.may_have_run_at,
+        dict(owed.open_pushes),
+        owed.notice,
     )
 
 
@@ -130,7 +128,7 @@
     return {
         "id": owed.id,
         "destination": owed.destination,
-        "topic_type": owed.topic,
+        "topic_type": owed.topic_type,
         "customer": owed.customer,
         "due_in_s": round(owed.due - now, 3),
         "pushes": owed.pushes,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -8,7 +8,7 @@
 from ryestack.ports import PushMessage
 from ryestack.wire.calls import CallDispatcher
 
-from .helpers import called, http, listed, members, settings, stand_in
+from .helpers import http, listed, members, push_to, settings, stand_in
 
 
 class CallDispatcherTest(unittest.IsolatedAsyncioTestCase):
@@ -23,14 +23,14 @@
             (410, {}, Result.NOT_SENT, True, 0.0),
             (302, {"Location": "/"}, Result.ERROR, False, 0.0),
         ):
-            [outcome], _ = await called(lambda *_, s=status, h=headers: http(s, **h))
+            [outcome], _ = await push_to(lambda *_, s=status, h=headers: http(s, **h))
             self.assertEqual((outcome.result, outcome.ended, outcome.wait), (result, ended, wait), status)
 
     async def test_the_request_and_the_load_report(self):
-        [outcome], [(head, body)] = await called(lambda *_: http(200, X_Load='{"x0":0.4,"x1":25}'))
+        [outcome], [(head, body)] = await push_to(lambda *_: http(200, X_Load='{"x0":0.4,"x1":25}'))
         self.assertEqual((body, outcome.limit, outcome.limit_left), (b"body\r\n", 25.0, 0.4))
         for bad in ('{"x0":-1,"x1":25}', '{"x0":"a","x1":25}', '{"x0":0.1}', '{"x0":null,"x1":9}', "[]", "x"):
-            [outcome], _ = await called(lambda *_, bad=bad: http(200, X_Load=bad))
+            [outcome], _ = await push_to(lambda *_, bad=bad: http(200, X_Load=bad))
             self.assertEqual(outcome.limit_left, 1.0, bad)
         self.assertTrue(head.startswith(b"POST /receive HTTP/1.1\r\n"))
         self.assertIn(b"X-Request-Id: n\r\n", head)
@@ -107,9 +107,9 @@
         await calls.close()
 
     async def test_a_refused_call_never_ran_and_a_broken_one_may_have(self):
-        [outcome], _ = await called(lambda *_: None)
+        [outcome], _ = await push_to(lambda *_: None)
         self.assertEqual(outcome.result, Result.BROKEN)
-        [outcome], requests = await called(lambda *_: None, address="127.0.0.1:9")
+        [outcome], requests = await push_to(lambda *_: None, address="127.0.0.1:9")
         self.assertEqual((outcome.result, requests), (Result.NO_CONNECTION, []))
 
     async def test_a_reused_connection_that_breaks_may_have_run_the_call_and_it_is_not_retried(self):
@@ -126,11 +126,11 @@
         self.assertEqual((results, len(heads)), ([(Result.DELIVERED, False), (Result.BROKEN, True)], 2))
 
     async def test_a_call_without_an_answer_times_out_and_is_not_retried(self):
-        [outcome], requests = await called(lambda *_: b"", timeout=0.1)
+        [outcome], requests = await push_to(lambda *_: b"", timeout=0.1)
         self.assertEqual((outcome.result, len(requests)), (Result.TIMED_OUT, 1))
 
     async def test_a_first_line_with_200_counts_though_the_rest_never_comes(self):
-        [outcome], _ = await called(lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", timeout=0.2)
+        [outcome], _ = await push_to(lambda *_: b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", timeout=0.2)
         self.assertEqual(outcome.result, Result.DELIVERED)
 
     async def test_malformed_answers(self):
@@ -153,7 +153,7 @@
             (b"HTTP/1.1 2000 OK\r\n\r\n", Result.BROKEN),
             (b"HTTP/1.1 100 x\r\n\r\n" * 5000, Result.BROKEN),
         ):
-            [outcome], _ = await called(lambda *_, raw=raw: raw, timeout=3.0)
+            [outcome], _ = await push_to(lambda *_, raw=raw: raw, timeout=3.0)
             self.assertEqual((outcome.result, outcome.elapsed < 1.0), (result, True), raw[:60])
 
     async def test_a_valid_answer_keeps_its_connection(self):
@@ -189,7 +189,7 @@
 
     async def test_a_wait_holds_though_the_rest_of_its_answer_is_malformed(self):
         answer = b"HTTP/1.1 429 x\r\nX-Retry-In-Ms: 250\r\nContent-Length: 9\r\n\r\nx"
-        [outcome], _ = await called(lambda *_: answer)
+        [outcome], _ = await push_to(lambda *_: answer)
         self.assertEqual((outcome.result, outcome.wait), (Result.BROKEN, 0.25))
 
     async def test_bytes_on_an_idle_connection_are_no_answer_to_the_next_call(self):
@@ -231,7 +231,7 @@
 
     async def test_several_messages_go_in_one_call_where_the_kind_takes_them(self):
         answer = http(200, b"n done\r\nm busy\r\no void\r\n", X_Retry_In_Ms="100")
-        outcomes, [(head, body)] = await called(lambda *_: answer, "nmop", "bulk")
+        outcomes, [(head, body)] = await push_to(lambda *_: answer, "nmop", "bulk")
         self.assertTrue(head.startswith(b"POST /receive-many "))
         self.assertTrue(body.startswith(b"n kn 6\r\nbody\r\n\r\nm km 6\r\n"))
         self.assertEqual(
@@ -241,7 +241,7 @@
         )
 
     async def test_a_kind_that_takes_one_message_gets_a_call_each(self):
-        outcomes, requests = await called(lambda *_: http(200), "nm")
+        outcomes, requests = await push_to(lambda *_: http(200), "nm")
         self.assertEqual([outcome.result for outcome in outcomes], [Result.DELIVERED] * 2)
         self.assertEqual({head.split()[1] for head, _ in requests}, {b"/receive"})
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -11,7 +11,7 @@
 from ryestack.ports import CloseReason, Verdict
 
 from .test_client_connection import WHOLE, Served
-from .test_owner import OwnerMade
+from .test_owner import OwnerFixture
 
 INF = float("inf")
 AGAIN = interface.TopicType("again", interface.Effect.REPEATABLE, 2.0, 20.0)
@@ -86,7 +86,7 @@
         self.assertIs(self.check(checks), Rule.WHILE_ENDING)
 
 
-class RefusedByTheOwner(OwnerMade, unittest.IsolatedAsyncioTestCase):
+class RefusedByTheOwner(OwnerFixture, unittest.IsolatedAsyncioTestCase):
     async def test_push_that_breaks_a_rule_is_not_made_and_does_not_count(self):
         o = self.owner()
         o.round([self.hand_in("n", "once")])
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -47,7 +47,7 @@
 def test_unreadable_file_is_ignored(tmp_path, data):
     for name in (remembered.LEARNT, remembered.FAILING):
         (tmp_path / name).write_bytes(data)
-    assert remembered.load(str(tmp_path), "s", NOW) == remembered.Remembered(None, {})
+    assert remembered.load(str(tmp_path), "s", NOW) == remembered.SavedState(None, {})
 
 
 def test_damaged_file_is_ignored_though_it_parses(tmp_path):
@@ -78,12 +78,12 @@
 def test_failing_routes_count_if_saved_after_the_learned_state(tmp_path):
     folder, failing = str(tmp_path), {"a": 9.5}
     remembered.save_failing(folder, failing, Moment(9.9, "boot"))
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered(None, failing)
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState(None, failing)
     remembered.save(folder, {"x": 1}, "s", NOW)
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered({"x": 1}, {})
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState({"x": 1}, {})
     remembered.save_failing(folder, failing, Moment(10.1, "boot"))
-    assert remembered.load(folder, "s", SOON) == remembered.Remembered({"x": 1}, failing)
-    assert remembered.load(folder, "s", Moment(12.0, "another")) == remembered.Remembered(None, {})
+    assert remembered.load(folder, "s", SOON) == remembered.SavedState({"x": 1}, failing)
+    assert remembered.load(folder, "s", Moment(12.0, "another")) == remembered.SavedState(None, {})
 
 
 # Every stored key, as a build before the renames of the attributes wrote it.
