--- a/ryestack/control/assignment.py
+++ b/ryestack/control/assignment.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from ryestack.control.bounded_load import shard_probes
-from ryestack.control.stable_hash import as_fraction, hash_word
-from ryestack.control.zone_spread import Zones, deal_in_region
+from ryestack.control.stable_hash import as_fraction, hash_u64
+from ryestack.control.zone_spread import Zones, assign_in_region
 
 REPLICAS = 3
 SHARDS_PER_REGION = 8192
@@ -49,7 +49,7 @@
 
 def shard_of(region: str, destination: str, shards_per_region: int = SHARDS_PER_REGION) -> str:
     """The shard of a destination with this home region."""
-    return shard_key(region, hash_word(destination) % shards_per_region)
+    return shard_key(region, hash_u64(destination) % shards_per_region)
 
 
 class HomeLayout(msgspec.Struct, frozen=True):
@@ -87,7 +87,7 @@
         self.slack = slack
         self.homes = frozenset(homes)
         self.members = _by_name(members)
-        self._lay_out({})
+        self._compute_layouts({})
 
     def relays_of(self, shard: str) -> tuple[str, ...]:
         """The relays that serve a shard; their order says nothing. Raises UnknownShard."""
@@ -122,14 +122,14 @@
         """
         changed = copy(self)
         changed.members = dict(self.members)
-        gone = [changed.members.pop(name, None) for name in left]
-        arrivals = _by_name(joined)
-        gone += [changed.members.get(name) for name in arrivals]
-        changed.members.update(arrivals)
+        removed = [changed.members.pop(name, None) for name in left]
+        added = _by_name(joined)
+        removed += [changed.members.get(name) for name in added]
+        changed.members.update(added)
         if homes is not None:
             changed.homes = frozenset(homes)
-        touched = {member.region for member in (*gone, *arrivals.values()) if member is not None}
-        changed._lay_out(self._reusable(touched))
+        touched = {member.region for member in (*removed, *added.values()) if member is not None}
+        changed._compute_layouts(self._reusable(touched))
         return changed
 
     def _reusable(self, touched: Set[str]) -> dict[str, HomeLayout]:
@@ -143,7 +143,7 @@
     def _serves_itself(self, home: str) -> bool:
         return _relay_count(self._regions.get(home, {})) >= self.replicas
 
-    def _lay_out(self, reusable: Mapping[str, HomeLayout]) -> None:
+    def _compute_layouts(self, reusable: Mapping[str, HomeLayout]) -> None:
         self._regions = _by_region(self.members.values())
         self._region_weights = {
             region: math.fsum(weight for relays in zones.values() for weight in relays.values())
@@ -157,9 +157,9 @@
     def _layout(self, home: str) -> HomeLayout:
         relays: list[list[str]] = [[] for _ in range(self.shards_per_region)]
         probes = shard_probes(self.shards_per_region)
-        for (region, seats), numbers in self._serving_groups(home).items():
-            dealt = deal_in_region(self._regions[region], numbers, seats, self.slack, probes)
-            for number, names in dealt.items():
+        for (region, count), numbers in self._serving_groups(home).items():
+            assigned = assign_in_region(self._regions[region], numbers, count, self.slack, probes)
+            for number, names in assigned.items():
                 relays[number] += names
         numbers_of: defaultdict[str, list[int]] = defaultdict(list)
         for number, names in enumerate(relays):
@@ -179,10 +179,10 @@
         for number in numbers:
             remaining = self.replicas
             for region in self._region_order(home, number):
-                seats = min(remaining, _relay_count(self._regions[region]))
-                if seats:
-                    groups[region, seats].append(number)
-                    remaining -= seats
+                count = min(remaining, _relay_count(self._regions[region]))
+                if count:
+                    groups[region, count].append(number)
+                    remaining -= count
         return groups
 
     def _region_order(self, home: str, number: int) -> list[str]:
@@ -190,9 +190,7 @@
         shard = shard_key(home, number)
 
         def score(region: str) -> tuple[bool, float, str]:
-            draw = (
-                -math.log(as_fraction(hash_word(f"region|{region}|{shard}"))) / self._region_weights[region]
-            )
+            draw = -math.log(as_fraction(hash_u64(f"region|{region}|{shard}"))) / self._region_weights[region]
             return region != home, draw, region
 
         return sorted(self._regions, key=score)
--- a/ryestack/control/bounded_load.py
+++ b/ryestack/control/bounded_load.py
@@ -12,7 +12,7 @@
 from functools import lru_cache
 from itertools import chain, islice
 
-from ryestack.control.stable_hash import as_fraction, hash_table, hash_word, hash_words
+from ryestack.control.stable_hash import as_fraction, hash_table, hash_u64, hash_u64s
 
 RING_POSITIONS = 32
 """Positions on the ring of a relay of weight 1: more make its arcs evener and the ring slower to sort."""
@@ -64,71 +64,75 @@
     Between the two whole numbers around (1 + slack) x fair share, a hash of the name decides. When the
     number of relays changes, capacities so step one relay after another and not all at once.
     """
-    stepped = math.floor((1 + slack) * fair_share + as_fraction(hash_word(f"capacity|{name}")))
-    least = math.ceil(fair_share - ROUNDING)
-    return min(load_bound(fair_share, slack, shard_count), max(least, stepped))
+    rounded = math.floor((1 + slack) * fair_share + as_fraction(hash_u64(f"capacity|{name}")))
+    minimum = math.ceil(fair_share - ROUNDING)
+    return min(load_bound(fair_share, slack, shard_count), max(minimum, rounded))
 
 
-class Dealer:
+class ReplicaAssigner:
     """Deals seats to the relays of one group, one shard after another, from a ring of hash positions."""
 
-    def __init__(self, weights: Mapping[str, float], wanted: Mapping[int, int], slack: float) -> None:
+    def __init__(self, weights: Mapping[str, float], replica_counts: Mapping[int, int], slack: float) -> None:
         if len(weights) > MAXIMUM_RELAYS:
             raise ValueError(f"{len(weights)} relays in one group, {MAXIMUM_RELAYS} at most")
-        shares = fair_shares(sum(wanted.values()), weights, dict.fromkeys(weights, len(wanted)))
-        self._room = {name: capacity(name, shares[name], slack, len(wanted)) for name in weights}
-        self._wanted = wanted
-        self._dealt: dict[int, list[str]] = {}
+        shares = fair_shares(
+            sum(replica_counts.values()), weights, dict.fromkeys(weights, len(replica_counts))
+        )
+        self._free_capacity = {
+            name: capacity(name, shares[name], slack, len(replica_counts)) for name in weights
+        }
+        self._replica_counts = replica_counts
+        self._assigned: dict[int, list[str]] = {}
         self._ring = _sorted_ring(weights)
         names = sorted(weights)
         self._owners = [names[entry & _INDEX_MASK] for entry in self._ring]
         self._owners += self._owners[:1]  # the owner behind the last entry: there the ring begins again
 
-    def deal(self, probes: Probes) -> dict[int, list[str]]:
+    def assign(self, probes: Probes) -> dict[int, list[str]]:
         """The relays of each shard number."""
-        for number, seats in self._wanted.items():
-            self._dealt[number] = self._take(seats, probes[number]) if seats else []
-        return self._dealt
+        for number, replicas in self._replica_counts.items():
+            self._assigned[number] = self._assign_shard(replicas, probes[number]) if replicas else []
+        return self._assigned
 
-    def _take(self, seats: int, probes: tuple[int, ...]) -> list[str]:
-        ring, owners, room = self._ring, self._owners, self._room
-        taken: list[str] = []
+    def _assign_shard(self, replicas: int, probes: tuple[int, ...]) -> list[str]:
+        ring, owners, free_capacity = self._ring, self._owners, self._free_capacity
+        chosen: list[str] = []
         for probe in probes:
             name = owners[bisect(ring, probe)]
-            if room[name] and name not in taken:
-                room[name] -= 1
-                taken.append(name)
-                if len(taken) == seats:
-                    return taken
-        self._walk(bisect(ring, probes[-1]), seats, taken)
-        while len(taken) < seats:
-            taken.append(self._swap(taken))
-        return taken
-
-    def _walk(self, start: int, seats: int, taken: list[str]) -> None:
+            if free_capacity[name] and name not in chosen:
+                free_capacity[name] -= 1
+                chosen.append(name)
+                if len(chosen) == replicas:
+                    return chosen
+        self._scan_ring(bisect(ring, probes[-1]), replicas, chosen)
+        while len(chosen) < replicas:
+            chosen.append(self._free_by_swap(chosen))
+        return chosen
+
+    def _scan_ring(self, start: int, replicas: int, chosen: list[str]) -> None:
         """Takes the next relays with room on the ring, until there are as many as seats or all were seen."""
         for name in chain(islice(self._owners, start, None), islice(self._owners, start)):
-            if self._room[name] and name not in taken:
-                self._room[name] -= 1
-                taken.append(name)
-                if len(taken) == seats:
+            if self._free_capacity[name] and name not in chosen:
+                self._free_capacity[name] -= 1
+                chosen.append(name)
+                if len(chosen) == replicas:
                     return
 
-    def _swap(self, taken: list[str]) -> str:
+    def _free_by_swap(self, chosen: list[str]) -> str:
         """Frees a relay for a shard that holds a seat of every relay with room, and returns the relay.
 
         An earlier shard without the relay that has room gives up one of its own relays for it. There always
         is one: if all earlier shards held all relays with room, the room left would be less than the seats
         still to be dealt, while capacities together are never less than the seats wanted.
         """
-        for roomy in taken:
-            if not self._room[roomy]:
+        for candidate in chosen:
+            if not self._free_capacity[candidate]:
                 continue
-            for relays in self._dealt.values():
-                spare = [name for name in relays if name not in taken]
-                if spare and roomy not in relays:
-                    relays[relays.index(spare[0])] = roomy
-                    self._room[roomy] -= 1
+            for relays in self._assigned.values():
+                spare = [name for name in relays if name not in chosen]
+                if spare and candidate not in relays:
+                    relays[relays.index(spare[0])] = candidate
+                    self._free_capacity[candidate] -= 1
                     return spare[0]
         raise AssertionError("capacities are less than the seats wanted")
 
@@ -141,12 +145,12 @@
     return sorted(
         position & ~_INDEX_MASK | index
         for index, name in enumerate(sorted(weights))
-        for position in hash_words(name, max(1, round(RING_POSITIONS * weights[name])))
+        for position in hash_u64s(name, max(1, round(RING_POSITIONS * weights[name])))
     )
 
 
-def deal_seats(
-    weights: Mapping[str, float], wanted: Mapping[int, int], slack: float, probes: Probes
+def assign_replicas(
+    weights: Mapping[str, float], replica_counts: Mapping[int, int], slack: float, probes: Probes
 ) -> dict[int, list[str]]:
     """Deals shards their seats among the relays named in `weights`, distinct within a shard.
 
@@ -154,4 +158,4 @@
     fair shares are in proportion to weights and none exceeds the number of shards. No shard may want more
     seats than there are relays, and seats wanted by two shards may differ by one at most.
     """
-    return Dealer(weights, wanted, slack).deal(probes)
+    return ReplicaAssigner(weights, replica_counts, slack).assign(probes)
--- a/ryestack/control/catalogue.py
+++ b/ryestack/control/catalogue.py
@@ -93,7 +93,7 @@
             raise OutOfOrder(f"version {version} behind {self.version}")
         touched: set[str] = set()
         for entry in entries:
-            touched |= self._put(entry)
+            touched |= self._apply_entry(entry)
         self.version = version
         self._compact()
         return touched
@@ -130,8 +130,8 @@
                     continue
                 size += entry_bytes(entry)
                 if entries and size > limit_bytes:
-                    begun = entries[-1].shard == shard
-                    return Slice(shard if begun else shards[index - 1], entries, not begun)
+                    partial = entries[-1].shard == shard
+                    return Slice(shard if partial else shards[index - 1], entries, not partial)
                 entries.append(entry)
             after = ""
         return Slice(shards[-1], entries, True)
@@ -144,20 +144,20 @@
     @classmethod
     def restore(cls, snapshot: Snapshot, max_tombstones: int = MAX_TOMBSTONES) -> "Catalogue":
         """The catalogue that gave the snapshot."""
-        made = cls(max_tombstones)
-        made.version, made.floor = snapshot.version, snapshot.floor
+        catalogue = cls(max_tombstones)
+        catalogue.version, catalogue.floor = snapshot.version, snapshot.floor
         # The place that a key has left comes before the one that it has moved to.
         for entry in sorted(snapshot.entries, key=lambda entry: (entry.version, entry.value is not None)):
-            made._place(entry)
-        made._compact()
-        return made
+            catalogue._insert(entry)
+        catalogue._compact()
+        return catalogue
 
     def _tables(self, shards: Sequence[str]) -> Iterator[dict[str, Entry]]:
         if list(shards) == [ALL_SHARDS]:
             return iter([self._entries])
         return (self._shards[shard] for shard in shards if shard in self._shards)
 
-    def _put(self, entry: Entry) -> set[str]:
+    def _apply_entry(self, entry: Entry) -> set[str]:
         """A deletion takes its key from wherever it is; a key that moves is deleted where it was."""
         before = self._entries.get(entry.key)
         if entry.value is None:
@@ -166,12 +166,12 @@
             entry = Entry(entry.key, entry.version, before.shard, None)
         touched = {entry.shard}
         if before is not None and before.shard != entry.shard and before.value is not None:
-            self._place(Entry(entry.key, entry.version, before.shard, None))
+            self._insert(Entry(entry.key, entry.version, before.shard, None))
             touched.add(before.shard)
-        self._place(entry)
+        self._insert(entry)
         return touched
 
-    def _place(self, entry: Entry) -> None:
+    def _insert(self, entry: Entry) -> None:
         """As the newest of its key and of its shard."""
         table = self._shards.get(entry.shard)
         if table is None:
--- a/ryestack/control/catalogue_codec.py
+++ b/ryestack/control/catalogue_codec.py
@@ -30,10 +30,10 @@
 
 def read_catalogue(parts: Iterable[bytes]) -> Catalogue:
     """The catalogue of a snapshot's parts; an empty one of none. Raises msgspec.MsgspecError."""
-    rest = iter(parts)
-    first = next(rest, None)
+    remaining = iter(parts)
+    first = next(remaining, None)
     if first is None:
         return Catalogue()
     head = _heads.decode(first)
-    entries = [entry for part in rest for entry in _entries.decode(part)]
+    entries = [entry for part in remaining for entry in _entries.decode(part)]
     return Catalogue.restore(Snapshot(head.version, head.floor, entries))
--- a/ryestack/control/change_log.py
+++ b/ryestack/control/change_log.py
@@ -24,11 +24,11 @@
 from .transport import Transport
 
 TICK_SECONDS = 0.1
-FULL_REST_SECONDS = 0.5  # until a full disk is tried again
-CHANGE_SECONDS = 4.0  # that a change waits for a majority
-APPLY_REST_SECONDS = 0.05  # between two batches for the relays' side: what comes in it is one
+FULL_DISK_RETRY_SECONDS = 0.5  # until a full disk is tried again
+CHANGE_TIMEOUT_SECONDS = 4.0  # that a change waits for a majority
+APPLY_INTERVAL_SECONDS = 0.05  # between two batches for the relays' side: what comes in it is one
 MAX_BATCH_ENTRIES = 10_000
-MAX_WAITING = 1000  # changes at once
+MAX_PENDING_CHANGES = 1000  # changes at once
 
 
 class DiskBlocked(Exception):
@@ -56,41 +56,41 @@
         self._storage, self._transport, self._clock = storage, transport, clock
         self._disk = ThreadPoolExecutor(1, "disk")
         self._compaction = Compaction(replica, storage, publisher)
-        self._work, self._committed = asyncio.Event(), asyncio.Event()
+        self._wake, self._committed = asyncio.Event(), asyncio.Event()
         self._to_apply: deque[LogEntry | None] = deque()  # None: the snapshot that stands
-        self._waiting: dict[int, tuple[LogEntry, asyncio.Future]] = {}
-        self._told = (Role.FOLLOWER, "")
+        self._pending: dict[int, tuple[LogEntry, asyncio.Future]] = {}
+        self._logged_role = (Role.FOLLOWER, "")
 
     async def run(self) -> None:
         """Ends by cancellation, or with the OSError or BadStorage of a disk that can't be used."""
         applying = asyncio.ensure_future(self._apply_committed())
         try:
-            await self._work_on(applying)
+            await self._process_until_failure(applying)
         finally:
             applying.cancel()
-            self._give_up("the machine ends")
+            self._fail_pending("the machine ends")
 
-    async def _work_on(self, applying: asyncio.Task) -> None:
+    async def _process_until_failure(self, applying: asyncio.Task) -> None:
         while True:
             if applying.done():
                 applying.result()
             self.replica.tick(self._clock())
             while ready := self.replica.take():
-                await self._finish(ready)
+                await self._process(ready)
             await self._compaction.step()
-            self._tell_role()
+            self._log_role()
             try:
-                await asyncio.wait_for(self._work.wait(), TICK_SECONDS)
+                await asyncio.wait_for(self._wake.wait(), TICK_SECONDS)
             except TimeoutError:
                 continue
-            self._work.clear()
+            self._wake.clear()
 
     def receive(self, messages: list[Message]) -> None:
         """Raises Misdirected or DiskBlocked."""
         self._check_disk()
         for message in messages:
             self.replica.receive(message, self._clock())
-        self._work.set()
+        self._wake.set()
 
     async def propose(self, payload: bytes) -> int:
         """The version of the change, once a majority has it on disk.
@@ -98,21 +98,21 @@
         Raises NotLeader, NoQuorum, Overloaded or DiskBlocked: it was not taken; Unconfirmed.
         """
         self._check_disk()
-        if len(self._waiting) >= MAX_WAITING:
-            raise Overloaded(f"{MAX_WAITING} changes wait")
+        if len(self._pending) >= MAX_PENDING_CHANGES:
+            raise Overloaded(f"{MAX_PENDING_CHANGES} changes wait")
         position = self.replica.propose(payload, self._clock())
         entry = LogEntry(position, self.replica.state.term, payload)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[position] = (entry, future)
-        self._work.set()
+        self._pending[position] = (entry, future)
+        self._wake.set()
         try:
-            async with asyncio.timeout(CHANGE_SECONDS):
+            async with asyncio.timeout(CHANGE_TIMEOUT_SECONDS):
                 await future
         except TimeoutError:
             raise Unconfirmed("no majority answers; the change may still come to hold") from None
         finally:
-            if self._waiting.get(position, (None, None))[1] is future:
-                del self._waiting[position]
+            if self._pending.get(position, (None, None))[1] is future:
+                del self._pending[position]
         return position
 
     def close(self) -> None:
@@ -124,13 +124,13 @@
         if self.blocked:
             raise DiskBlocked(self.blocked)
 
-    async def _finish(self, ready: Ready) -> None:
+    async def _process(self, ready: Ready) -> None:
         if ready.records:
             await self._store(ready.records)
         self._transport.send(ready.messages)
         if ready.restored:
             self._to_apply.append(None)
-            self._give_up("another leader's snapshot came")
+            self._fail_pending("another leader's snapshot came")
         for entry in ready.committed:
             self._acknowledge(entry)
         self._to_apply.extend(ready.committed)
@@ -142,13 +142,13 @@
         """Returns once all is on disk; with a full one it tries until there is room."""
         while True:
             try:
-                await self._on_disk(self._storage.store, records)
+                await self._run_on_disk_thread(self._storage.store, records)
                 break
             except StorageFull as full:
                 self.blocked = str(full)
                 event("machine.blocked", why=self.blocked)
-                self._give_up("the disk is full")
-                await asyncio.sleep(FULL_REST_SECONDS)
+                self._fail_pending("the disk is full")
+                await asyncio.sleep(FULL_DISK_RETRY_SECONDS)
         if self.blocked:
             self.blocked = ""
             event("machine.unblocked")
@@ -176,10 +176,10 @@
                 entries += entries_of(entry.payload, version)
         if version > self._publisher.catalogue.version:
             await self._polls.apply(version, entries)
-            await asyncio.sleep(APPLY_REST_SECONDS)
+            await asyncio.sleep(APPLY_INTERVAL_SECONDS)
 
     def _acknowledge(self, entry: LogEntry) -> None:
-        mine, future = self._waiting.pop(entry.position, (None, None))
+        mine, future = self._pending.pop(entry.position, (None, None))
         if future is None or future.done():
             return
         if mine.term == entry.term:
@@ -187,18 +187,18 @@
         else:
             future.set_exception(Unconfirmed("another leader's change stands in its place"))
 
-    def _give_up(self, reason: str) -> None:
+    def _fail_pending(self, reason: str) -> None:
         """Answer all changes that wait: what becomes of them is not known here."""
-        for _, future in self._waiting.values():
+        for _, future in self._pending.values():
             if not future.done():
                 future.set_exception(Unconfirmed(f"{reason}; the change may still come to hold"))
-        self._waiting.clear()
+        self._pending.clear()
 
-    def _on_disk(self, call: Callable, *arguments) -> asyncio.Future:
+    def _run_on_disk_thread(self, call: Callable, *arguments) -> asyncio.Future:
         return asyncio.get_running_loop().run_in_executor(self._disk, call, *arguments)
 
-    def _tell_role(self) -> None:
+    def _log_role(self) -> None:
         state = self.replica.state
-        if self._told != (state.role, state.leader):
-            self._told = (state.role, state.leader)
+        if self._logged_role != (state.role, state.leader):
+            self._logged_role = (state.role, state.leader)
             event("machine.role", role=state.role.value, leader=state.leader or "none", term=state.term)
--- a/ryestack/control/changes.py
+++ b/ryestack/control/changes.py
@@ -88,16 +88,16 @@
     if len(body) > MAX_BODY_BYTES:
         raise BadChange(f"the body has {len(body)} bytes, {MAX_BODY_BYTES} at most")
     try:
-        asked = _bodies.decode(body).changes
-    except _FAULTS as problem:
-        raise BadChange(_one_line(problem)) from None
+        requested = _bodies.decode(body).changes
+    except _FAULTS as error:
+        raise BadChange(_one_line(error)) from None
     changes, seen = [], set()
-    for index, one in enumerate(asked):
-        place = f"changes[{index}] {one.key[:MAX_NAME_LENGTH]!r}"
-        if one.key in seen:
+    for index, item in enumerate(requested):
+        place = f"changes[{index}] {item.key[:MAX_NAME_LENGTH]!r}"
+        if item.key in seen:
             raise BadChange(f"{place}: the key is there twice")
-        seen.add(one.key)
-        changes.append(_read_change(one, place))
+        seen.add(item.key)
+        changes.append(_read_change(item, place))
     return changes
 
 
@@ -115,23 +115,23 @@
     return [Entry(change.key, version, _shard(change), change.value) for change in changes]
 
 
-def _read_change(asked: _Asked, place: str) -> Change:
-    kind = _kind(asked.key, place)
-    raw = bytes(asked.value)
-    if asked.delete:
+def _read_change(requested: _Asked, place: str) -> Change:
+    kind = _kind(requested.key, place)
+    raw = bytes(requested.value)
+    if requested.delete:
         if raw:
             raise BadChange(f"{place}: has a value and is to be deleted: one of both is allowed")
-        return Change(asked.key, None)
+        return Change(requested.key, None)
     if not raw:
         raise BadChange(f'{place}: has no value, and no "delete": true')
     try:
         _values[kind].decode(raw)
         value = msgspec.json.format(raw, indent=-1)
-    except _FAULTS as problem:
-        raise BadChange(f"{place}: {_one_line(problem)}") from None
+    except _FAULTS as error:
+        raise BadChange(f"{place}: {_one_line(error)}") from None
     if len(value) > MAX_VALUE_BYTES:
         raise BadChange(f"{place}: the value has {len(value)} bytes, {MAX_VALUE_BYTES} at most")
-    return Change(asked.key, value)
+    return Change(requested.key, value)
 
 
 def _kind(key: str, place: str) -> str:
@@ -157,5 +157,5 @@
     return shard_of(region, change.key.removeprefix(DESTINATION), SHARDS_PER_REGION)
 
 
-def _one_line(problem: BaseException) -> str:
-    return str(problem).encode("unicode_escape").decode()
+def _one_line(error: BaseException) -> str:
+    return str(error).encode("unicode_escape").decode()
--- a/ryestack/control/client.py
+++ b/ryestack/control/client.py
@@ -18,9 +18,9 @@
 from .subscription import Ask, Identity, Input
 
 # What aiohttp would add to each request: an idle relay would pay for it every few seconds.
-SPARED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
-IDLE_SECONDS = 30.0  # that an unused connection may stand
-LEAD_ON = (Input.FAILED, Input.BEHIND)  # answers after which another machine is asked
+OMITTED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+IDLE_TIMEOUT_SECONDS = 30.0  # that an unused connection may stand
+FAILOVER_INPUTS = (Input.FAILED, Input.BEHIND)  # answers after which another machine is asked
 MAX_REASON_BYTES = 200  # of a refusal that are passed on
 
 Apply = Callable[[list[Entry], list[str], int], None]
@@ -33,7 +33,7 @@
 """trouble(why): a machine gave no answer that could be used; "" once one does again."""
 
 
-class _NoAnswer(Exception):
+class _RequestFailed(Exception):
     """The machine answered with another status than 200, or without bounds."""
 
 
@@ -59,7 +59,7 @@
         trouble: Trouble | None = None,
     ) -> None:
         self._apply, self._check, self._clock = apply, check, clock
-        self._trouble, self._troubled = trouble, False
+        self._trouble, self._failing = trouble, False
         self._owns_session, self._session = session is None, session or new_session()
         self.subscriber = Subscriber(identity, machines, hold, chance, clock(), kept)
         self.requests, self.failures = 0, 0
@@ -82,9 +82,9 @@
         while True:
             step = self.subscriber.step(self._clock())
             if isinstance(step, Ask):
-                await self._carry(step)
+                await self._send(step)
             elif isinstance(step, Update):
-                self._offer(step)
+                self._apply_or_reject(step)
             else:
                 await asyncio.sleep(max(0.0, self.subscriber.wake_at - self._clock()))
 
@@ -93,7 +93,7 @@
         if self._owns_session:
             await self._session.close()
 
-    def _offer(self, update: Update) -> None:
+    def _apply_or_reject(self, update: Update) -> None:
         rejection = self._check(update.entries)
         if rejection is None:
             self._apply(update.entries, update.removed, update.version)
@@ -101,39 +101,41 @@
         else:
             self.subscriber.reject(rejection.key, rejection.reason, self._clock())
 
-    async def _carry(self, ask: Ask) -> None:
+    async def _send(self, ask: Ask) -> None:
         self.requests += 1
         try:
             async with asyncio.timeout(ask.timeout):
                 answer = await self._post(ask)
-        except (_NoAnswer, BadMessage, aiohttp.ClientError, OSError, TimeoutError, ValueError) as problem:
+        except (_RequestFailed, BadMessage, aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             self.failures += 1
             self.subscriber.failed(ask.number, self._clock())
-            self._tell(f"{ask.machine.name}: {problem or type(problem).__name__}")
+            self._report_failure(f"{ask.machine.name}: {error or type(error).__name__}")
         else:
             what = self.subscriber.heard(ask.number, answer, self._clock())
-            self._tell(f"{ask.machine.name}: {_said(answer)}" if what in LEAD_ON else "")
+            self._report_failure(
+                f"{ask.machine.name}: {_describe(answer)}" if what in FAILOVER_INPUTS else ""
+            )
 
     async def _post(self, ask: Ask) -> Answer:
         url, body = f"http://{ask.machine.address}{PATH}", messages.encode(ask.request)
-        async with self._session.post(url, data=body, skip_auto_headers=SPARED_HEADERS) as response:
+        async with self._session.post(url, data=body, skip_auto_headers=OMITTED_HEADERS) as response:
             answer = bytearray()
             async for chunk in response.content.iter_any():
                 answer += chunk
                 if len(answer) > MAX_MESSAGE_BYTES:
-                    raise _NoAnswer(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
+                    raise _RequestFailed(f"an answer of more than {MAX_MESSAGE_BYTES} bytes")
             if response.status != 200:
                 reason = bytes(answer[:MAX_REASON_BYTES]).decode(errors="replace").strip()
-                raise _NoAnswer(f"status {response.status}: {reason}")
+                raise _RequestFailed(f"status {response.status}: {reason}")
             return messages.decode_answer(bytes(answer))
 
-    def _tell(self, why: str) -> None:
-        if self._trouble is not None and (why or self._troubled):
+    def _report_failure(self, why: str) -> None:
+        if self._trouble is not None and (why or self._failing):
             self._trouble(why)
-        self._troubled = bool(why)
+        self._failing = bool(why)
 
 
-def _said(answer: Answer) -> str:
+def _describe(answer: Answer) -> str:
     if isinstance(answer, messages.Unavailable):
         return answer.reason
     return f"its {type(answer).__name__} does not go with what was asked, or it is behind"
@@ -141,5 +143,5 @@
 
 def new_session() -> aiohttp.ClientSession:
     """A session that any number of clients can share: no bound on connections, no cookies."""
-    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_SECONDS)
+    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_TIMEOUT_SECONDS)
     return aiohttp.ClientSession(connector=connector, cookie_jar=aiohttp.DummyCookieJar())
--- a/ryestack/control/compaction.py
+++ b/ryestack/control/compaction.py
@@ -15,10 +15,10 @@
 from .storage import Storage
 from .storage_errors import StorageFull
 
-LEAST_LOG_BYTES = 16 * 1024 * 1024  # below it a log is never compacted
-SNAPSHOT_SHARE = 0.5  # a log is compacted from that part of its snapshot's size on
-KEPT_BYTES = 4 * 1024 * 1024  # of entries behind which a voter needs no snapshot
-KEPT_ENTRIES = 10_000
+MIN_LOG_BYTES = 16 * 1024 * 1024  # below it a log is never compacted
+LOG_TO_SNAPSHOT_RATIO = 0.5  # a log is compacted from that part of its snapshot's size on
+RETAINED_BYTES = 4 * 1024 * 1024  # of entries behind which a voter needs no snapshot
+RETAINED_ENTRIES = 10_000
 
 
 class Compaction:
@@ -29,13 +29,13 @@
         self._writer = ThreadPoolExecutor(1, "snapshot")
         self._writing: Future | None = None
         self._position = self._term = 0
-        self._least_bytes = LEAST_LOG_BYTES
+        self._min_log_bytes = MIN_LOG_BYTES
 
     async def step(self) -> None:
         """Begin, or put in place what is written. Raises OSError where the disk is lost."""
         if self._writing is None:
             if self._storage.log_bytes > max(
-                self._least_bytes, self._storage.snapshot_bytes * SNAPSHOT_SHARE
+                self._min_log_bytes, self._storage.snapshot_bytes * LOG_TO_SNAPSHOT_RATIO
             ):
                 self._begin()
         elif self._writing.done() and self._replica.can_compact():
@@ -43,9 +43,9 @@
             try:
                 writing.result()
                 await self._finish()
-                self._least_bytes = LEAST_LOG_BYTES
+                self._min_log_bytes = MIN_LOG_BYTES
             except StorageFull as full:
-                self._least_bytes = 2 * self._storage.log_bytes  # until then there may be room
+                self._min_log_bytes = 2 * self._storage.log_bytes  # until then there may be room
                 event("machine.not_compacted", why=str(full))
 
     def close(self) -> None:
@@ -67,15 +67,15 @@
             self._storage.drop_prepared()  # a leader's newer one came meanwhile
             return
         self._storage.install_snapshot()
-        self._replica.compact(self._position, self._entries_to_keep())
+        self._replica.compact(self._position, self._entries_to_retain())
         content = self._content()
         await asyncio.get_running_loop().run_in_executor(self._writer, self._storage.rewrite_log, content)
 
-    def _entries_to_keep(self) -> int:
+    def _entries_to_retain(self) -> int:
         log, size, count = self._replica.state.log, 0, 0
         for entry in reversed(log.between(log.base, self._position)):
             size += len(entry.payload)
-            if size > KEPT_BYTES or count == KEPT_ENTRIES:
+            if size > RETAINED_BYTES or count == RETAINED_ENTRIES:
                 break
             count += 1
         return count
--- a/ryestack/control/consensus.py
+++ b/ryestack/control/consensus.py
@@ -18,7 +18,7 @@
 from .consensus_state import Persisted, Ready, ReplicaState, Role
 from .elections import Election
 from .leadership import Leadership, ReadPiece
-from .log_acceptance import Follower
+from .log_acceptance import LogAcceptor
 
 ELECTION_TIMEOUT = 1.5  # seconds; a lost leader is missed after one to two of these
 MAX_UNCOMMITTED_BYTES = 8 * 1024 * 1024  # of payloads that wait for a majority
@@ -57,14 +57,14 @@
         name: str,
         voters: tuple[str, ...],
         persisted: Persisted,
-        chance,
+        rng,
         read_piece: ReadPiece,
         now: float,
         timeout: float = ELECTION_TIMEOUT,
     ):
         self.state = ReplicaState(cluster, name, voters, persisted)
-        self.election = Election(self.state, chance, timeout, now)
-        self.follower = Follower(self.state)
+        self.election = Election(self.state, rng, timeout, now)
+        self.follower = LogAcceptor(self.state)
         self.leadership: Leadership | None = None
         self.read_piece, self.timeout = read_piece, timeout
         self.last_tick = now
@@ -78,28 +78,28 @@
         if newer and not self._keeps_term(message):
             self._step_down(message.term, now)
         if message.term < self.state.term:
-            self._answer_old(message, now)
+            self._answer_stale(message, now)
             return
         if self.leadership and isinstance(message, Append | SnapshotPiece):
             raise Misdirected(f"is from {message.sender!r}, a second leader of term {message.term}")
         match message:
             case VoteRequest():
-                self.election.answer(message, now)
+                self.election.handle_request(message, now)
             case VoteReply():
-                if self.election.count(message, now):
-                    self._lead(now)
+                if self.election.handle_reply(message, now):
+                    self._become_leader(now)
             case Append():
-                self.election.hear_leader(message.sender, now)
+                self.election.observe_leader(message.sender, now)
                 self.follower.accept_append(message)
             case SnapshotPiece():
-                self.election.hear_leader(message.sender, now)
+                self.election.observe_leader(message.sender, now)
                 self.follower.accept_piece(message)
             case AppendReply():
                 if self.leadership:
-                    self.leadership.hear_append_reply(message, now)
+                    self.leadership.handle_append_reply(message, now)
             case SnapshotReply():
                 if self.leadership:
-                    self.leadership.hear_snapshot_reply(message, now)
+                    self.leadership.handle_snapshot_reply(message, now)
 
     def tick(self, now: float) -> None:
         """To be called several times in an election timeout."""
@@ -109,8 +109,8 @@
                 self.leadership.tick(now)
             else:
                 self._step_down(self.state.term, now)
-        elif self.election.is_due(now) and self.election.stand(now):
-            self._lead(now)
+        elif self.election.is_due(now) and self.election.campaign(now):
+            self._become_leader(now)
 
     def propose(self, payload: bytes, now: float) -> int:
         """The position that the payload has once it is committed, which only `Ready.committed` tells.
@@ -175,7 +175,7 @@
             return message.pre_vote and message.granted
         return isinstance(message, VoteRequest) and message.pre_vote
 
-    def _answer_old(self, message: Message, now: float) -> None:
+    def _answer_stale(self, message: Message, now: float) -> None:
         """Whoever is in an earlier term learns of the newer one."""
         if isinstance(message, Append | SnapshotPiece):
             self.state.send(message.sender, AppendReply, accepted=False, previous_position=0, position=0)
@@ -186,6 +186,6 @@
         self.leadership = None
         self.election.step_down(term, now)
 
-    def _lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self.state.role, self.state.leader = Role.LEADER, self.state.name
         self.leadership = Leadership(self.state, self.timeout, self.read_piece, now)
--- a/ryestack/control/consensus_messages.py
+++ b/ryestack/control/consensus_messages.py
@@ -127,8 +127,8 @@
         raise BadMessage(f"{len(body)} bytes, {MAX_BODY_BYTES} at most")
     try:
         messages = _decoder.decode(body)
-    except _FAULTS as problem:
-        raise BadMessage(str(problem)) from None
+    except _FAULTS as error:
+        raise BadMessage(str(error)) from None
     for message in messages:
         if isinstance(message, Append):
             _check_entries(message)
--- a/ryestack/control/elections.py
+++ b/ryestack/control/elections.py
@@ -11,84 +11,84 @@
 class Election:
     """One replica's part in elections. timeout: it stands after one to two times that many seconds."""
 
-    def __init__(self, state: ReplicaState, chance, timeout: float, now: float):
-        self.state, self.chance, self.timeout = state, chance, timeout
-        self.heard_leader = now
+    def __init__(self, state: ReplicaState, rng, timeout: float, now: float):
+        self.state, self.rng, self.timeout = state, rng, timeout
+        self.leader_seen_at = now
         self.votes: set[str] = set()
-        self.rearm(now)
+        self.reset_deadline(now)
 
-    def rearm(self, now: float) -> None:
-        self.deadline = now + self.chance.uniform(self.timeout, 2.0 * self.timeout)
+    def reset_deadline(self, now: float) -> None:
+        self.deadline = now + self.rng.uniform(self.timeout, 2.0 * self.timeout)
 
     def is_due(self, now: float) -> bool:
         if self.deadline - now > 2.0 * self.timeout:  # the clock was set back
-            self.rearm(now)
+            self.reset_deadline(now)
         return now >= self.deadline
 
     def postpone(self, seconds: float) -> None:
         """Count for nothing the time that the process stood still."""
         self.deadline += seconds
-        self.heard_leader += seconds
+        self.leader_seen_at += seconds
 
-    def hear_leader(self, name: str, now: float) -> None:
+    def observe_leader(self, name: str, now: float) -> None:
         self.state.role, self.state.leader = Role.FOLLOWER, name
-        self.heard_leader = now
-        self.rearm(now)
+        self.leader_seen_at = now
+        self.reset_deadline(now)
 
     def has_leader(self, now: float) -> bool:
         """Whether a leader was heard within the timeout, or this replica is the leader."""
         if self.state.role is Role.LEADER:
             return True
-        return bool(self.state.leader) and abs(now - self.heard_leader) < self.timeout
+        return bool(self.state.leader) and abs(now - self.leader_seen_at) < self.timeout
 
     def step_down(self, term: int, now: float) -> None:
         """Become a follower without a leader, in a term that may be newer."""
         if term > self.state.term:
             self.state.set_term(term, "")
         self.state.role, self.state.leader = Role.FOLLOWER, ""
-        self.rearm(now)
+        self.reset_deadline(now)
 
-    def stand(self, now: float) -> bool:
+    def campaign(self, now: float) -> bool:
         """Ask for pre-votes; whether that is won already, being the only voter."""
-        return self._ask(Role.PRE_CANDIDATE, now) and self._stand_in_new_term(now)
+        return self._request_votes(Role.PRE_CANDIDATE, now) and self._campaign_in_new_term(now)
 
-    def count(self, reply: VoteReply, now: float) -> bool:
+    def handle_reply(self, reply: VoteReply, now: float) -> bool:
         """Whether this reply makes the replica the leader of its term."""
         state = self.state
         if not reply.granted:
             return False
         if reply.pre_vote and state.role is Role.PRE_CANDIDATE and reply.term == state.term + 1:
-            return self._won(reply.sender) and self._stand_in_new_term(now)
+            return self._record_vote(reply.sender) and self._campaign_in_new_term(now)
         if not reply.pre_vote and state.role is Role.CANDIDATE and reply.term == state.term:
-            return self._won(reply.sender)
+            return self._record_vote(reply.sender)
         return False
 
-    def answer(self, request: VoteRequest, now: float) -> None:
+    def handle_request(self, request: VoteRequest, now: float) -> None:
         """Vote, or say why not by naming the own term."""
         state = self.state
-        newer_log = (request.last_term, request.last_position) >= (
+        log_is_current = (request.last_term, request.last_position) >= (
             state.log.last_term,
             state.log.last_position,
         )
         if request.pre_vote:
-            granted = newer_log and request.term > state.term
+            granted = log_is_current and request.term > state.term
         else:
-            granted = newer_log and request.term == state.term and state.vote in ("", request.sender)
+            granted = log_is_current and request.term == state.term and state.vote in ("", request.sender)
             if granted:
                 state.set_term(state.term, request.sender)
-                self.rearm(now)
+                self.reset_deadline(now)
         term = request.term if granted else state.term
         state.send(request.sender, VoteReply, term, pre_vote=request.pre_vote, granted=granted)
 
-    def _stand_in_new_term(self, now: float) -> bool:
+    def _campaign_in_new_term(self, now: float) -> bool:
         self.state.set_term(self.state.term + 1, self.state.name)
-        return self._ask(Role.CANDIDATE, now)
+        return self._request_votes(Role.CANDIDATE, now)
 
-    def _ask(self, role: Role, now: float) -> bool:
+    def _request_votes(self, role: Role, now: float) -> bool:
         state = self.state
         state.role, state.leader = role, ""
         self.votes = set()
-        self.rearm(now)
+        self.reset_deadline(now)
         pre_vote = role is Role.PRE_CANDIDATE
         for voter in state.others:
             state.send(
@@ -99,8 +99,8 @@
                 last_position=state.log.last_position,
                 last_term=state.log.last_term,
             )
-        return self._won(state.name)
+        return self._record_vote(state.name)
 
-    def _won(self, voter: str) -> bool:
+    def _record_vote(self, voter: str) -> bool:
         self.votes.add(voter)
         return len(self.votes) >= self.state.majority
--- a/ryestack/control/endpoints.py
+++ b/ryestack/control/endpoints.py
@@ -77,7 +77,7 @@
             report = status.decode_report(body)
         except BadMessage:
             return _text(400, "no message")
-        if not self._machine.leads():
+        if not self._machine.is_leader():
             return self._refusal("another machine leads, or none")
         if not self._machine.take_report(report):
             return _text(409, "is of another cluster or machine")
@@ -88,8 +88,12 @@
 
     async def destination(self, _: bytes, number: str) -> Response:
         """Which relays serve a destination."""
-        told = self._machine.destination(number)
-        return _json(200, told) if told else _text(404, f"there is no {changes.DESTINATION}{number[:32]}")
+        assigned = self._machine.destination(number)
+        return (
+            _json(200, assigned)
+            if assigned
+            else _text(404, f"there is no {changes.DESTINATION}{number[:32]}")
+        )
 
     def _refusal(self, reason: str) -> Response:
         return _json(503, Refusal(reason, *self._machine.leader()))
--- a/ryestack/control/follower.py
+++ b/ryestack/control/follower.py
@@ -10,12 +10,12 @@
 from ..observe.log import event
 from . import messages
 from .gathering import BadAnswer, Gathered, Gathering, NotAhead
-from .machine_client import LOST, NoAnswer, post
+from .machine_client import CONNECTION_ERRORS, RequestFailed, post
 from .messages import PATH, BadMessage, Delta, Fetch
 from .order import Failover, Machine, machine_order
 from .polls import Polls
 
-ANSWER_SECONDS = 5.0  # for an answer, beside what it may be held
+ANSWER_TIMEOUT_SECONDS = 5.0  # for an answer, beside what it may be held
 
 
 class Follower:
@@ -30,11 +30,11 @@
         session: aiohttp.ClientSession,
         hold: float,
         clock: Callable[[], float],
-        chance: Random,
+        rng: Random,
     ):
         self._polls, self._session, self._clock = polls, session, clock
         self._gathering = Gathering(cluster, machine.name, hold)
-        self._failover = Failover(machine_order(machine.name, machine.region, voters), chance)
+        self._failover = Failover(machine_order(machine.name, machine.region, voters), rng)
         self._hold = hold
         self.confirmed_at = -inf
 
@@ -43,29 +43,29 @@
         while True:
             source = self._failover.choose(self._clock())
             try:
-                await self._ask(source)
-            except (NoAnswer, NotAhead, BadAnswer, BadMessage, *LOST) as problem:
-                event("machine.lost", machine=source.name, why=str(problem) or type(problem).__name__)
+                await self._poll(source)
+            except (RequestFailed, NotAhead, BadAnswer, BadMessage, *CONNECTION_ERRORS) as error:
+                event("machine.lost", machine=source.name, why=str(error) or type(error).__name__)
                 rest_until = self._failover.failed(self._clock())
                 await asyncio.sleep(max(0.0, rest_until - self._clock()))
 
-    async def _ask(self, source: Machine) -> None:
+    async def _poll(self, source: Machine) -> None:
         request = self._gathering.request()
         body = messages.encode(request)
         hold = 0.0 if isinstance(request, Fetch) else request.hold
         answer = messages.decode_answer(
-            await post(self._session, source.address, PATH, body, hold + ANSWER_SECONDS)
+            await post(self._session, source.address, PATH, body, hold + ANSWER_TIMEOUT_SECONDS)
         )
-        gathered = self._gathering.hear(answer)
+        complete = self._gathering.receive(answer)
         self._failover.answered()
-        if gathered:
-            await self._apply(gathered)
+        if complete:
+            await self._apply(complete)
         if isinstance(answer, Delta) and not answer.more:
             self.confirmed_at = self._clock()
 
-    async def _apply(self, gathered: Gathered) -> None:
-        if gathered.catalogue is not None:
-            await self._polls.load(gathered.catalogue)
+    async def _apply(self, complete: Gathered) -> None:
+        if complete.catalogue is not None:
+            await self._polls.load(complete.catalogue)
         else:
-            await self._polls.apply(gathered.version, gathered.entries)
-        self._gathering.applied(gathered)
+            await self._polls.apply(complete.version, complete.entries)
+        self._gathering.applied(complete)
--- a/ryestack/control/frames.py
+++ b/ryestack/control/frames.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from typing import BinaryIO
 
-MARK = b"\xf1RYE"
+MAGIC = b"\xf1RYE"
 HEAD = struct.Struct("<4sII")  # mark, length in bytes, checksum of the length and the bytes
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 SEARCH_BYTES = 1024 * 1024
@@ -26,7 +26,7 @@
     """The data as a frame."""
     if len(data) > MAX_FRAME_BYTES:
         raise ValueError(f"a frame of {len(data)} bytes, {MAX_FRAME_BYTES} at most")
-    return HEAD.pack(MARK, len(data), _checksum(data)) + data
+    return HEAD.pack(MAGIC, len(data), _checksum(data)) + data
 
 
 def read_frames(file: BinaryIO) -> Iterator[bytes]:
@@ -43,14 +43,14 @@
     offset, carried = after, b""
     file.seek(after)
     while chunk := file.read(SEARCH_BYTES):
-        text, start = carried + chunk, offset - len(carried)
-        index = text.find(MARK)
+        window, start = carried + chunk, offset - len(carried)
+        index = window.find(MAGIC)
         while index >= 0:
             if _is_whole(file, start + index):
                 return True
-            index = text.find(MARK, index + 1)
+            index = window.find(MAGIC, index + 1)
         offset += len(chunk)
-        carried = text[-(len(MARK) - 1) :]
+        carried = window[-(len(MAGIC) - 1) :]
         file.seek(offset)
     return False
 
@@ -68,7 +68,7 @@
     if len(head) < HEAD.size:
         raise DamagedFrame(offset, "the file ends within a frame's head")
     mark, length, checksum = HEAD.unpack(head)
-    if mark != MARK or length > MAX_FRAME_BYTES:
+    if mark != MAGIC or length > MAX_FRAME_BYTES:
         raise DamagedFrame(offset, "there is no frame")
     data = file.read(length)
     if len(data) < length:
--- a/ryestack/control/gathering.py
+++ b/ryestack/control/gathering.py
@@ -52,20 +52,20 @@
         gathered = self._position != self.version
         return Follow(self._cluster, self._machine, self._position, 0.0 if gathered else self._hold)
 
-    def hear(self, answer: Answer) -> Gathered | None:
+    def receive(self, answer: Answer) -> Gathered | None:
         """A version that is whole now. Raises BadAnswer or NotAhead: another machine is to be asked."""
         fetching = self._fetched is not None and self._position is None
         match answer:
             case Unavailable():
                 raise NotAhead(answer.reason)
             case Piece() if fetching:
-                self._take_piece(answer)
+                self._add_piece(answer)
                 return None
             case TooOld() if not fetching:
                 self._begin_fetch()
                 return None
             case Delta() if not fetching and answer.since == self._position:
-                return self._take_delta(answer)
+                return self._add_delta(answer)
         raise BadAnswer(f"{type(answer).__name__} does not go with what was asked")
 
     def applied(self, gathered: Gathered) -> None:
@@ -83,9 +83,9 @@
         self._begin_deltas()
         self._position, self._fetched = None, {}
 
-    def _take_piece(self, piece: Piece) -> None:
+    def _add_piece(self, piece: Piece) -> None:
         for entry in piece.entries:
-            self._put(entry)
+            self._insert(entry)
         self._lowest = min(self._lowest, piece.version) if self._after else piece.version
         self._need = max(self._need, piece.version)
         if piece.done:
@@ -95,28 +95,28 @@
         else:
             self._after = position(piece.entries[-1])
 
-    def _take_delta(self, delta: Delta) -> Gathered | None:
+    def _add_delta(self, delta: Delta) -> Gathered | None:
         if delta.version < self._position or (delta.more and delta.version == self._position):
             raise BadAnswer(f"a delta from {delta.since} to {delta.version}")
         if self._fetched is None:
             self._changes += delta.entries
         else:
             for entry in delta.entries:
-                self._put(entry)
+                self._insert(entry)
         self._position = delta.version
         self._need = max(self._need, delta.target if delta.more else delta.version)
         if self._position < self._need and not delta.more:
             raise NotAhead(f"it has {delta.version}, and parts of {self._need} have come")
         if delta.more or self._position == self.version:
             return None
-        return self._whole()
+        return self._complete_version()
 
-    def _put(self, entry: Entry) -> None:
-        held = self._fetched.get(entry.key)
-        if held is None or held.version <= entry.version:
+    def _insert(self, entry: Entry) -> None:
+        previous = self._fetched.get(entry.key)
+        if previous is None or previous.version <= entry.version:
             self._fetched[entry.key] = entry
 
-    def _whole(self) -> Gathered:
+    def _complete_version(self) -> Gathered:
         version = self._position
         if self._fetched is None:
             return Gathered(version, self._changes)
--- a/ryestack/control/held.py
+++ b/ryestack/control/held.py
@@ -21,8 +21,8 @@
 class HeldPolls:
     """One poll an asker, and a bound on all."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, limit: int) -> None:
+        self._limit = limit
         self._held: dict[str, HeldPoll] = {}
         self._askers: dict[Hashable, str] = {}  # by token
         self._heap: list[tuple[float, int, HeldPoll]] = []
@@ -44,7 +44,7 @@
 
     def full(self) -> bool:
         """Whether the bound is reached."""
-        return len(self._held) >= self._most
+        return len(self._held) >= self._limit
 
     def hold(self, poll: HeldPoll) -> None:
         """The asker's poll before it, if one is held, has to be taken first."""
@@ -52,7 +52,7 @@
         self._askers[poll.token] = poll.asker
         self._schedule(poll)
 
-    def hasten(self, asker: str, due: float) -> None:
+    def answer_by(self, asker: str, due: float) -> None:
         """Answer the asker's poll by then at the latest."""
         poll = self._held.get(asker)
         if poll is not None and due < poll.due:
@@ -76,17 +76,17 @@
         taken = []
         while self._heap and self._heap[0][0] <= now:
             item = heapq.heappop(self._heap)
-            if self._stands(item):
+            if self._is_current(item):
                 taken.append(self.take(item[2].asker))
         return taken
 
     def next_due(self) -> float:
         """When `take_due` has something next, inf if nothing is held."""
-        while self._heap and not self._stands(self._heap[0]):
+        while self._heap and not self._is_current(self._heap[0]):
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else inf
 
-    def _stands(self, item: tuple[float, int, HeldPoll]) -> bool:
+    def _is_current(self, item: tuple[float, int, HeldPoll]) -> bool:
         due, _, poll = item
         return self._held.get(poll.asker) is poll and poll.due == due
 
--- a/ryestack/control/holdings.py
+++ b/ryestack/control/holdings.py
@@ -32,7 +32,7 @@
         self.tables: dict[str, dict[str, Entry]] = {}
         self.by_key: dict[str, Entry] = {}
         for entry in kept.entries if kept else ():
-            self._put(entry)
+            self._insert(entry)
 
     def kept(self) -> Kept:
         """For `Holdings(kept)` of a later process."""
@@ -44,20 +44,20 @@
         """Another version is in force: keys that are gone, and entries that are new or may have moved."""
         self.version, self.shards = version, frozenset(shards)
         for key in removed:
-            self._drop(key)
+            self._remove(key)
         for entry in live:
-            self._put(entry)
+            self._insert(entry)
 
-    def _put(self, entry: Entry) -> None:
-        self._drop(entry.key)
+    def _insert(self, entry: Entry) -> None:
+        self._remove(entry.key)
         self.tables.setdefault(entry.shard, {})[entry.key] = entry
         self.by_key[entry.key] = entry
 
-    def _drop(self, key: str) -> None:
-        before = self.by_key.pop(key, None)
-        if before is None:
+    def _remove(self, key: str) -> None:
+        previous = self.by_key.pop(key, None)
+        if previous is None:
             return
-        table = self.tables[before.shard]
+        table = self.tables[previous.shard]
         del table[key]
         if not table:
-            del self.tables[before.shard]
+            del self.tables[previous.shard]
--- a/ryestack/control/log_acceptance.py
+++ b/ryestack/control/log_acceptance.py
@@ -4,7 +4,7 @@
 from .consensus_state import NewPiece, ReplicaState
 
 
-class Follower:
+class LogAcceptor:
     """Accepts what the leader sends. incoming: the snapshot that is arriving; offset: bytes of it."""
 
     def __init__(self, state: ReplicaState):
@@ -20,7 +20,7 @@
             entries = [entry for entry in entries if entry.position > log.base]
             previous, previous_term = log.base, log.base_term
         if log.term_at(previous) != previous_term:
-            self._reply(message, False, self._position_to_try(previous))
+            self._reply(message, False, self._next_position_to_try(previous))
             return
         self._store(entries)
         agreed = entries[-1].position if entries else previous
@@ -55,7 +55,7 @@
                 self.state.append(entries[index:])
                 return
 
-    def _position_to_try(self, previous: int) -> int:
+    def _next_position_to_try(self, previous: int) -> int:
         """The last position that may agree: behind it is a whole term of entries that does not."""
         log = self.state.log
         if previous > log.last_position:
--- a/ryestack/control/log_file.py
+++ b/ryestack/control/log_file.py
@@ -58,29 +58,29 @@
             for data in frames:
                 _replay(path, data, found, log)
             end = file.tell()
-        except DamagedFrame as problem:
-            if problem.offset == 0 or holds_frame(file, problem.offset + 1):
-                raise BadStorage(f"{path}: {problem}") from None
-            end = problem.offset
+        except DamagedFrame as error:
+            if error.offset == 0 or holds_frame(file, error.offset + 1):
+                raise BadStorage(f"{path}: {error}") from None
+            end = error.offset
     found.base, found.base_term, found.entries = log.base, log.base_term, log.entries
     return found, end
 
 
 def write_log(path: Path, cluster: str, machine: str, content: Persisted) -> None:
     """Put a log with this content in the place of what is there, whole. Raises OSError: the old one is."""
-    fresh = path.with_name(path.name + ".new")
+    replacement = path.with_name(path.name + ".new")
     head = LogHead(FORMAT, cluster, machine, content.base, content.base_term)
     try:
-        with open(fresh, "wb") as file:
+        with open(replacement, "wb") as file:
             file.write(frame(msgspec.msgpack.encode(head)))
             for records in _as_records(content):
                 file.write(encode_records(records))
             file.flush()
             os.fsync(file.fileno())
     except OSError:
-        fresh.unlink(missing_ok=True)
+        replacement.unlink(missing_ok=True)
         raise
-    replace(fresh, path)
+    replace(replacement, path)
 
 
 def _as_records(content: Persisted) -> Iterator[list[LogRecord]]:
@@ -106,5 +106,5 @@
                     log.append(record.entries)
                 case Restart():
                     log.restart(record.position, record.term)
-    except (msgspec.MsgspecError, ValueError, IndexError) as problem:
-        raise BadStorage(f"{path}: a record is not readable: {problem}") from None
+    except (msgspec.MsgspecError, ValueError, IndexError) as error:
+        raise BadStorage(f"{path}: a record is not readable: {error}") from None
--- a/ryestack/control/machine.py
+++ b/ryestack/control/machine.py
@@ -16,8 +16,8 @@
 from .consensus import NoQuorum, NotLeader, Replica
 from .endpoints import REPORTS_PATH, Endpoints
 from .follower import Follower
-from .machine_client import LOST, NoAnswer, new_session, post
-from .order import Machine as Place
+from .machine_client import CONNECTION_ERRORS, RequestFailed, new_session, post
+from .order import Machine as MachineAddress
 from .polls import Polls
 from .publisher import Publisher
 from .server import ControlServer
@@ -26,8 +26,8 @@
 from .storage_errors import BadStorage
 from .transport import Transport
 
-REPORT_SECONDS = 1.0  # between reports to the leader
-STALE_SECONDS = 5.0  # without word of a leader, after which a machine may be behind the others
+REPORT_INTERVAL_SECONDS = 1.0  # between reports to the leader
+STALE_AFTER_SECONDS = 5.0  # without word of a leader, after which a machine may be behind the others
 
 
 class ControlMachine:
@@ -40,7 +40,7 @@
         self,
         cluster: str,
         name: str,
-        machines: list[Place],
+        machines: list[MachineAddress],
         voters: list[str],
         folder: Path,
         hold: float,
@@ -48,21 +48,21 @@
         clock: Callable[[], float],
     ):
         self.cluster, self.name, self.voters, self._clock = cluster, name, tuple(voters), clock
-        self._places = {place.name: place for place in machines}
+        self._machines = {place.name: place for place in machines}
         self._hold = hold
-        self._chance = random.Random()
-        self._reports = Reports(self._places)
+        self._rng = random.Random()
+        self._reports = Reports(self._machines)
         self._leader_address = ""  # as last told to a machine without a vote
-        self._heard_leader_at = -inf
+        self._leader_seen_at = -inf
         self._storage = Storage(folder, cluster, name) if name in voters else None
         catalogue, persisted = self._load()
-        self._publisher = Publisher(cluster, catalogue, replicas, self._chance)
+        self._publisher = Publisher(cluster, catalogue, replicas, self._rng)
         self._publisher.ready = catalogue.version > 0
         self.polls = Polls(self._publisher, clock, self._stale)
         self._session = new_session()
         self.change_log = self._make_change_log(persisted) if self._storage else None
         self.follower = None if self._storage else self._make_follower()
-        host, _, port = self._places[name].address.rpartition(":")
+        host, _, port = self._machines[name].address.rpartition(":")
         self._server = ControlServer((host, int(port)), Endpoints(self).routes())
 
     def bind(self) -> None:
@@ -72,9 +72,9 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Until it is told to stop. Raises what ended it else: OSError or BadStorage of a lost disk."""
         await self._server.open()
-        event("machine.open", machine=self.name, address=self._places[self.name].address)
+        event("machine.open", machine=self.name, address=self._machines[self.name].address)
         work = self.change_log or self.follower
-        tasks = [asyncio.ensure_future(one) for one in (work.run(), self._report(), stop.wait())]
+        tasks = [asyncio.ensure_future(one) for one in (work.run(), self._send_reports(), stop.wait())]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
@@ -95,7 +95,7 @@
         if self._storage:
             self._storage.close()
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return bool(self.change_log and self.change_log.replica.leadership)
 
     def leader(self) -> tuple[str, str]:
@@ -105,10 +105,10 @@
         try:
             self.change_log.replica.check_leader(self._clock())
         except NotLeader as other:
-            return other.leader, self._places[other.leader].address
+            return other.leader, self._machines[other.leader].address
         except NoQuorum:
             return "", ""
-        return self.name, self._places[self.name].address
+        return self.name, self._machines[self.name].address
 
     def take_report(self, report: Report) -> bool:
         return report.cluster == self.cluster and self._reports.take(report, self._clock())
@@ -150,18 +150,18 @@
         try:
             persisted = self._storage.load()
             return read_catalogue(self._storage.read_snapshot()), persisted
-        except msgspec.MsgspecError as problem:
-            raise BadStorage(f"{self._storage.snapshot_path}: is not readable: {problem}") from None
+        except msgspec.MsgspecError as error:
+            raise BadStorage(f"{self._storage.snapshot_path}: is not readable: {error}") from None
 
     def _make_change_log(self, persisted) -> ChangeLog:
-        others = {name: self._places[name].address for name in self.voters if name != self.name}
+        others = {name: self._machines[name].address for name in self.voters if name != self.name}
         self._transport = Transport(others, self._session)
         replica = Replica(
             self.cluster,
             self.name,
             self.voters,
             persisted,
-            self._chance,
+            self._rng,
             self._storage.read_piece,
             self._clock(),
         )
@@ -169,44 +169,48 @@
 
     def _make_follower(self) -> Follower:
         return Follower(
-            self._places[self.name],
+            self._machines[self.name],
             self.cluster,
-            [self._places[name] for name in self.voters],
+            [self._machines[name] for name in self.voters],
             self.polls,
             self._session,
             self._hold,
             self._clock,
-            self._chance,
+            self._rng,
         )
 
     def _stale(self) -> str:
         """Why this machine may be behind all others, "" while it is not."""
         now = self._clock()
         if self.follower:
-            if now - self.follower.confirmed_at < STALE_SECONDS + self._hold:
+            if now - self.follower.confirmed_at < STALE_AFTER_SECONDS + self._hold:
                 return ""
             return "it reaches no machine that is up to date"
         if self.leader()[0]:
-            self._heard_leader_at = now
-        return "" if now - self._heard_leader_at < STALE_SECONDS else "no majority of the voters is in reach"
+            self._leader_seen_at = now
+        return (
+            ""
+            if now - self._leader_seen_at < STALE_AFTER_SECONDS
+            else "no majority of the voters is in reach"
+        )
 
     def _own_report(self, now: float) -> Report:
         version = self._publisher.catalogue.version
         return Report(self.cluster, self.name, version, states_of(self._publisher.reports, now))
 
-    async def _report(self) -> None:
+    async def _send_reports(self) -> None:
         """Tell the leader of the relays that poll here, again and again."""
-        voters = [self._places[name].address for name in self.voters]
+        voters = [self._machines[name].address for name in self.voters]
         while True:
-            await asyncio.sleep(REPORT_SECONDS)
-            if self._stale() or self.leads():
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
+            if self._stale() or self.is_leader():
                 continue
-            address = self.leader()[1] or self._chance.choice(voters)
+            address = self.leader()[1] or self._rng.choice(voters)
             body = encode_report(self._own_report(self._clock()))
             try:
-                await post(self._session, address, REPORTS_PATH, body, 2.0 * REPORT_SECONDS)
+                await post(self._session, address, REPORTS_PATH, body, 2.0 * REPORT_INTERVAL_SECONDS)
                 self._leader_address = address
-            except NoAnswer as refusal:
+            except RequestFailed as refusal:
                 self._leader_address = refusal.address
-            except LOST:
+            except CONNECTION_ERRORS:
                 self._leader_address = ""
--- a/ryestack/control/machine_client.py
+++ b/ryestack/control/machine_client.py
@@ -7,10 +7,10 @@
 
 from .messages import MAX_MESSAGE_BYTES
 
-IDLE_SECONDS = 30.0  # that an unused connection may stand
+IDLE_TIMEOUT_SECONDS = 30.0  # that an unused connection may stand
 
 
-class NoAnswer(Exception):
+class RequestFailed(Exception):
     """The machine answered with another status than 200; address: of the leader, where it named one."""
 
     def __init__(self, status: int, text: str, address: str = ""):
@@ -26,30 +26,35 @@
     address: str = ""
 
 
-LOST = (aiohttp.ClientError, OSError, TimeoutError)
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 
 
 def new_session() -> aiohttp.ClientSession:
-    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_SECONDS)
+    connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=IDLE_TIMEOUT_SECONDS)
     return aiohttp.ClientSession(connector=connector, cookie_jar=aiohttp.DummyCookieJar())
 
 
-async def post(session: aiohttp.ClientSession, address: str, path: str, body: bytes, seconds: float) -> bytes:
+async def post(
+    session: aiohttp.ClientSession, address: str, path: str, body: bytes, timeout_seconds: float
+) -> bytes:
     """The body of the answer. Raises NoAnswer, or one of LOST."""
-    async with asyncio.timeout(seconds), session.post(f"http://{address}{path}", data=body) as response:
+    async with (
+        asyncio.timeout(timeout_seconds),
+        session.post(f"http://{address}{path}", data=body) as response,
+    ):
         answer = bytearray()
         async for chunk in response.content.iter_any():
             answer += chunk
             if len(answer) > MAX_MESSAGE_BYTES:
-                raise NoAnswer(response.status, f"more than {MAX_MESSAGE_BYTES} bytes")
+                raise RequestFailed(response.status, f"more than {MAX_MESSAGE_BYTES} bytes")
     if response.status != 200:
-        raise _no_answer(response.status, bytes(answer))
+        raise _request_failed(response.status, bytes(answer))
     return bytes(answer)
 
 
-def _no_answer(status: int, body: bytes) -> NoAnswer:
+def _request_failed(status: int, body: bytes) -> RequestFailed:
     try:
-        told = msgspec.json.decode(body, type=Refusal)
+        refusal = msgspec.json.decode(body, type=Refusal)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        return NoAnswer(status, body[:200].decode(errors="replace").strip())
-    return NoAnswer(status, told.reason, told.address)
+        return RequestFailed(status, body[:200].decode(errors="replace").strip())
+    return RequestFailed(status, refusal.reason, refusal.address)
--- a/ryestack/control/messages.py
+++ b/ryestack/control/messages.py
@@ -184,5 +184,5 @@
         raise BadMessage(f"{len(body)} bytes, {MAX_MESSAGE_BYTES} at most")
     try:
         return decoder.decode(body)
-    except _FAULTS as problem:
-        raise BadMessage(str(problem)) from None
+    except _FAULTS as error:
+        raise BadMessage(str(error)) from None
--- a/ryestack/control/polls.py
+++ b/ryestack/control/polls.py
@@ -15,8 +15,8 @@
 from .messages import Answer, Delta, Entry, Fetch, Poll, Request, Unavailable
 from .publisher import Publisher
 
-NOBODY = 0  # the token of a request that is not to be held
-LEAST_WAIT_SECONDS = 0.005  # between two looks at what is due
+UNHELD_TOKEN = 0  # the token of a request that is not to be held
+MIN_TIMER_SECONDS = 0.005  # between two looks at what is due
 
 
 class Polls:
@@ -25,22 +25,22 @@
     def __init__(self, publisher: Publisher, clock: Callable[[], float], stale: Callable[[], str]):
         self._publisher, self._clock, self._stale = publisher, clock, stale
         self._waiting: dict[int, asyncio.Future] = {}
-        self._gone: list[int] = []  # tokens to be released once the publisher is free
-        self._tokens = NOBODY
-        self._turn = asyncio.Lock()
+        self._abandoned: list[int] = []  # tokens to be released once the publisher is free
+        self._last_token = UNHELD_TOKEN
+        self._lock = asyncio.Lock()
         self._assigner = ThreadPoolExecutor(1, "assignment")
         self._timer: asyncio.TimerHandle | None = None
-        self._look: asyncio.Task | None = None
+        self._due_task: asyncio.Task | None = None
 
     async def answer(self, request: Request) -> Answer:
         """Raises publisher.Refused."""
         if self._publisher.wake_at <= self._clock():
-            await asyncio.shield(self._begin_look())  # goes on where this asker leaves
-        async with self._turn:
+            await asyncio.shield(self._start_due_task())  # goes on where this asker leaves
+        async with self._lock:
             if not isinstance(request, Fetch) and (reason := self._stale()):
                 return self._answer_while_stale(request, reason)
-            self._tokens += 1
-            token = self._tokens
+            self._last_token += 1
+            token = self._last_token
             answer = self._publisher.hear(request, self._clock(), token)
             if answer is None:
                 self._waiting[token] = asyncio.get_running_loop().create_future()
@@ -49,14 +49,14 @@
 
     async def apply(self, version: int, entries: Sequence[Entry]) -> None:
         """Take changes, as Publisher.apply."""
-        async with self._turn:
+        async with self._lock:
             self._publisher.apply(version, entries, self._clock())
             self._publisher.ready = version > 0
             self._set_timer()
 
     async def load(self, catalogue: Catalogue) -> None:
         """Another catalogue holds, as Publisher.load."""
-        async with self._turn:
+        async with self._lock:
             await self._in_thread(self._publisher.load, catalogue)
             self._publisher.ready = catalogue.version > 0
             self._set_timer()
@@ -64,22 +64,22 @@
     def close(self) -> None:
         if self._timer:
             self._timer.cancel()
-        if self._look:
-            self._look.cancel()
+        if self._due_task:
+            self._due_task.cancel()
         for future in self._waiting.values():
             future.cancel()
         self._assigner.shutdown()
 
     async def _answer_due(self) -> None:
-        async with self._turn:
-            await self._settle()
+        async with self._lock:
+            await self._resolve_due()
             self._set_timer()
 
-    async def _settle(self) -> None:
+    async def _resolve_due(self) -> None:
         """Answer what is due. The publisher has to be this task's."""
-        for token in self._gone:
+        for token in self._abandoned:
             self._publisher.release(token)
-        self._gone.clear()
+        self._abandoned.clear()
         now = self._clock()
         if self._publisher.wake_at > now:
             return
@@ -97,32 +97,32 @@
             self._timer.cancel()
             self._timer = None
         if (wake_at := self._publisher.wake_at) < inf:
-            wait = max(LEAST_WAIT_SECONDS, wake_at - self._clock())
-            self._timer = asyncio.get_running_loop().call_later(wait, self._begin_look)
+            wait = max(MIN_TIMER_SECONDS, wake_at - self._clock())
+            self._timer = asyncio.get_running_loop().call_later(wait, self._start_due_task)
 
-    def _begin_look(self) -> asyncio.Task:
-        if self._look is None or self._look.done():
-            self._look = asyncio.ensure_future(self._answer_due())
-        return self._look
+    def _start_due_task(self) -> asyncio.Task:
+        if self._due_task is None or self._due_task.done():
+            self._due_task = asyncio.ensure_future(self._answer_due())
+        return self._due_task
 
     async def _wait(self, token: int) -> Answer:
         try:
             return await self._waiting[token]
         finally:
             del self._waiting[token]
-            self._gone.append(token)
+            self._abandoned.append(token)
 
     def _answer_while_stale(self, request: Request, reason: str) -> Answer:
         """Whoever lies behind is helped, everybody else should ask another machine."""
-        asked = msgspec.structs.replace(request, hold=0.0)
-        answer = self._publisher.hear(asked, self._clock(), NOBODY)
+        immediate = msgspec.structs.replace(request, hold=0.0)
+        answer = self._publisher.hear(immediate, self._clock(), UNHELD_TOKEN)
         self._set_timer()
         if answer is None:  # a change of the relays' set is being worked in
-            self._publisher.release(NOBODY)
+            self._publisher.release(UNHELD_TOKEN)
             return Unavailable(self._publisher.catalogue.version, reason)
-        has_all = isinstance(answer, Delta) and not answer.entries and not answer.more
+        unchanged = isinstance(answer, Delta) and not answer.entries and not answer.more
         newest = request.applied if isinstance(request, Poll) else request.version
-        if has_all and answer.version <= max(newest, request.version):
+        if unchanged and answer.version <= max(newest, request.version):
             return Unavailable(answer.version, reason)
         return answer
 
--- a/ryestack/control/publisher.py
+++ b/ryestack/control/publisher.py
@@ -37,13 +37,13 @@
 )
 from .scopes import Scopes
 
-GATHER_SECONDS = 0.2  # between a change and its being told: what comes in it is told together
-FOLLOW_GATHER_SECONDS = 0.02  # the same for followers
-SPREAD_SECONDS = 2.0  # that a change of what all relays hold is told over
+BATCH_WINDOW_SECONDS = 0.2  # between a change and its being told: what comes in it is told together
+FOLLOWER_BATCH_WINDOW_SECONDS = 0.02  # the same for followers
+WAKE_SPREAD_SECONDS = 2.0  # that a change of what all relays hold is told over
 MAX_HOLD_SECONDS = 30.0
-MAX_HELD = 8192  # polls at once; above it all are answered without a wait
+MAX_HELD_POLLS = 8192  # polls at once; above it all are answered without a wait
 MAX_REPORTS = 20_000  # relays of which is known what they have applied; the longest silent make room
-SESSION_SECONDS = 30.0  # of silence after which a lower session of a relay is taken
+SESSION_TIMEOUT_SECONDS = 30.0  # of silence after which a lower session of a relay is taken
 MAX_DELTA_BYTES = MAX_MESSAGE_BYTES // 2  # a version that is larger in one scope is fetched in pieces
 MAX_SCOPE_BYTES = MAX_MESSAGE_BYTES * 3 // 4  # of the names of a relay's shards
 
@@ -71,13 +71,13 @@
         cluster: str,
         catalogue: Catalogue,
         replicas: int,
-        chance: random.Random,
+        rng: random.Random,
         shards_per_region: int = SHARDS_PER_REGION,
     ) -> None:
         self.cluster, self.catalogue, self.ready = cluster, catalogue, True
         self.reports: dict[str, RelayReport] = {}  # by relay, the longest silent first
-        self._new_scopes, self._chance = partial(Scopes, replicas, shards_per_region), chance
-        self._relays, self._followers = HeldPolls(MAX_HELD), HeldPolls(MAX_HELD)
+        self._new_scopes, self._rng = partial(Scopes, replicas, shards_per_region), rng
+        self._relays, self._followers = HeldPolls(MAX_HELD_POLLS), HeldPolls(MAX_HELD_POLLS)
         self._superseded: list[Hashable] = []  # tokens of polls whose askers have polled anew
         self.scopes = self._new_scopes()
         self.load(catalogue)
@@ -91,7 +91,7 @@
         self.scopes.refresh(0.0)
         for polls in (self._relays, self._followers):
             for asker in polls.askers():
-                polls.hasten(asker, -inf)
+                polls.answer_by(asker, -inf)
 
     @property
     def wake_at(self) -> float:
@@ -105,9 +105,9 @@
         if request.cluster != self.cluster:
             raise Refused(f"this is cluster {self.cluster}")
         if isinstance(request, Poll):
-            return self._hear_poll(request, now, token)
+            return self._handle_poll(request, now, token)
         if isinstance(request, Follow):
-            return self._hear_follow(request, now, token)
+            return self._handle_follow(request, now, token)
         return self._fetch(request)
 
     def apply(self, version: int, entries: Sequence[Entry], now: float) -> None:
@@ -119,19 +119,19 @@
         self.scopes.hear(entries, now)
         for shard in touched:
             if shard == SHARED_SHARD:
-                self._wake_all(now + GATHER_SECONDS)
+                self._wake_all(now + BATCH_WINDOW_SECONDS)
             else:
                 for relay in self.scopes.relays_of(shard):
-                    self._relays.hasten(relay, now + GATHER_SECONDS)
+                    self._relays.answer_by(relay, now + BATCH_WINDOW_SECONDS)
         for machine in self._followers.askers():
-            self._followers.hasten(machine, now + FOLLOW_GATHER_SECONDS)
+            self._followers.answer_by(machine, now + FOLLOWER_BATCH_WINDOW_SECONDS)
 
     def due(self, now: float) -> list[tuple[Hashable, Answer]]:
         """The answers whose time has come, each with the token of its request."""
         if self.scopes.refresh(now):
             self._wake_rescoped(now)
-        over = Unavailable(self.catalogue.version, "a later poll of the same name came")
-        answers: list[tuple[Hashable, Answer]] = [(token, over) for token in self._superseded]
+        superseded = Unavailable(self.catalogue.version, "a later poll of the same name came")
+        answers: list[tuple[Hashable, Answer]] = [(token, superseded) for token in self._superseded]
         self._superseded = []
         for poll in self._relays.take_due(now):
             if self.scopes.due_at < inf:  # no version is confirmed before the scope is of it
@@ -152,14 +152,14 @@
         """How many polls wait."""
         return len(self._relays) + len(self._followers)
 
-    def _hear_poll(self, poll: Poll, now: float, token: Hashable) -> Answer | None:
+    def _handle_poll(self, poll: Poll, now: float, token: Hashable) -> Answer | None:
         if not 0 < len(poll.relay) <= MAX_NAME_LENGTH:
             raise Refused("a relay's name is missing or too long")
         self._report(poll, now)
         self._supersede(self._relays, poll.relay)
         self.scopes.refresh(now)
         answer = self._answer_poll(poll)
-        waits = _nothing_new(answer) and poll.hold > 0.0
+        waits = _is_empty(answer) and poll.hold > 0.0
         settled = self.scopes.due_at == inf or isinstance(answer, Unavailable)
         if self._relays.full() or (settled and not waits):
             return answer
@@ -167,10 +167,10 @@
         self._relays.hold(HeldPoll(poll.relay, token, poll, due))
         return None
 
-    def _hear_follow(self, follow: Follow, now: float, token: Hashable) -> Answer | None:
+    def _handle_follow(self, follow: Follow, now: float, token: Hashable) -> Answer | None:
         self._supersede(self._followers, follow.machine)
         answer = self._answer_follow(follow)
-        if not _nothing_new(answer) or answer.version > follow.version or not follow.hold > 0.0:
+        if not _is_empty(answer) or answer.version > follow.version or not follow.hold > 0.0:
             return answer
         due = now + min(follow.hold, MAX_HOLD_SECONDS)
         self._followers.hold(HeldPoll(follow.machine, token, follow, due))
@@ -183,7 +183,7 @@
 
     def _report(self, poll: Poll, now: float) -> None:
         before = self.reports.pop(poll.relay, None)
-        if before and poll.session < before.session and now < before.heard_at + SESSION_SECONDS:
+        if before and poll.session < before.session and now < before.heard_at + SESSION_TIMEOUT_SECONDS:
             self.reports[poll.relay] = before
             raise Refused(f"session {poll.session} of {poll.relay} is older than {before.session}")
         self.reports[poll.relay] = RelayReport(
@@ -231,18 +231,18 @@
         part = self.catalogue.piece(fetch.shards, fetch.after, MAX_BATCH_BYTES)
         return Piece(part.shard, self.catalogue.version, part.entries, part.done)
 
-    def _wake_all(self, begin: float) -> None:
+    def _wake_all(self, start: float) -> None:
         """Each within the spread; one that is due in it stays, else a burst would end the spread."""
         for poll in self._relays.polls():
-            if poll.due > begin + SPREAD_SECONDS:
-                self._relays.hasten(poll.asker, begin + self._chance.uniform(0.0, SPREAD_SECONDS))
+            if poll.due > start + WAKE_SPREAD_SECONDS:
+                self._relays.answer_by(poll.asker, start + self._rng.uniform(0.0, WAKE_SPREAD_SECONDS))
 
     def _wake_rescoped(self, now: float) -> None:
         """Polls of relays whose scope is another one now; many may be, so they are spread."""
         for poll in self._relays.polls():
             if self.scopes.of(poll.asker).digest != poll.request.scope:
-                self._relays.hasten(poll.asker, now + self._chance.uniform(0.0, SPREAD_SECONDS))
+                self._relays.answer_by(poll.asker, now + self._rng.uniform(0.0, WAKE_SPREAD_SECONDS))
 
 
-def _nothing_new(answer: Answer) -> bool:
+def _is_empty(answer: Answer) -> bool:
     return isinstance(answer, Delta) and not answer.entries and not answer.more
--- a/ryestack/control/scopes.py
+++ b/ryestack/control/scopes.py
@@ -12,7 +12,7 @@
 from .messages import CONTROL_SHARD, SHARED_SHARD, Entry, scope_digest
 
 RELAY_PREFIX = "relay/"
-GATHER_SECONDS = 0.5  # between the first change of the set and the assignment that has it
+BATCH_WINDOW_SECONDS = 0.5  # between the first change of the set and the assignment that has it
 
 
 class Scope(msgspec.Struct, frozen=True):
@@ -46,13 +46,13 @@
         """Notes what changed of the relays' set and of the home regions of destinations."""
         for entry in entries:
             if entry.shard == CONTROL_SHARD and entry.key.startswith(RELAY_PREFIX):
-                self._note_relay(entry)
-                self.due_at = min(self.due_at, now + GATHER_SECONDS)
+                self._record_relay(entry)
+                self.due_at = min(self.due_at, now + BATCH_WINDOW_SECONDS)
             elif entry.value is not None and entry.shard not in (SHARED_SHARD, CONTROL_SHARD):
                 home = entry.shard.rpartition("/")[0]
                 if home not in self._assignment.homes and home not in self._new_homes:
                     self._new_homes.add(home)
-                    self.due_at = min(self.due_at, now + GATHER_SECONDS)
+                    self.due_at = min(self.due_at, now + BATCH_WINDOW_SECONDS)
 
     def refresh(self, now: float) -> bool:
         """Takes what waits once it is due; returns whether the assignment is another one now."""
@@ -94,7 +94,7 @@
         """The names of the relays of the set."""
         return self._assignment.members.keys()
 
-    def _note_relay(self, entry: Entry) -> None:
+    def _record_relay(self, entry: Entry) -> None:
         name = entry.key.removeprefix(RELAY_PREFIX)
         member = _member(name, entry.value)
         if member is None:
@@ -110,7 +110,7 @@
     if value is None:
         return None
     try:
-        told = msgspec.json.decode(value, type=RelayValue)
-        return RelayMember(name, told.region, told.zone, told.weight)
+        decoded = msgspec.json.decode(value, type=RelayValue)
+        return RelayMember(name, decoded.region, decoded.zone, decoded.weight)
     except (msgspec.MsgspecError, ValueError):
         return None
--- a/ryestack/control/server.py
+++ b/ryestack/control/server.py
@@ -14,12 +14,14 @@
 import aiohttp
 from aiohttp import web
 
-QUIET = logging.getLogger("ryestack.control")  # bad requests are answered; a traceback of each helps nobody
-QUIET.setLevel(logging.CRITICAL)
-IDLE_SECONDS = 75.0  # that a connection may stand unused
-BODY_SECONDS = 10.0  # for a whole request body
+SILENT_LOGGER = logging.getLogger(
+    "ryestack.control"
+)  # bad requests are answered; a traceback of each helps nobody
+SILENT_LOGGER.setLevel(logging.CRITICAL)
+IDLE_TIMEOUT_SECONDS = 75.0  # that a connection may stand unused
+BODY_TIMEOUT_SECONDS = 10.0  # for a whole request body
 MAX_CONNECTIONS = 16_384
-LOOKS_FOR_EOF = 3  # rounds of the loop in which a connection's end is read
+EOF_CHECK_ROUNDS = 3  # rounds of the loop in which a connection's end is read
 SPARE_DESCRIPTORS = 128  # that are not for connections here
 BACKLOG = 1024
 
@@ -54,13 +56,15 @@
         self._address, self._routes = address, {route.path: route for route in routes}
         self._busy: set[asyncio.Protocol] = set()
         self._socket = self._listener = None
-        self._bound = min(MAX_CONNECTIONS, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - SPARE_DESCRIPTORS)
+        self._max_connections = min(
+            MAX_CONNECTIONS, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - SPARE_DESCRIPTORS
+        )
         self._server = web.Server(
             self._handle,
             access_log=None,
-            keepalive_timeout=IDLE_SECONDS,
+            keepalive_timeout=IDLE_TIMEOUT_SECONDS,
             lingering_time=0.0,
-            logger=QUIET,
+            logger=SILENT_LOGGER,
             handler_cancellation=True,
         )
 
@@ -83,10 +87,10 @@
 
     def _accept(self) -> asyncio.Protocol:
         connections = self._server.connections
-        if len(connections) >= self._bound:
+        if len(connections) >= self._max_connections:
             idle = next((one for one in connections if one not in self._busy), None)
             if idle is None:
-                return _Closed()
+                return _RejectedConnection()
             idle.force_close()
         return self._server()
 
@@ -96,9 +100,9 @@
         try:
             return await self._answer(request)
         except TimeoutError:
-            return _last(408)
+            return _closing_response(408)
         except (OSError, aiohttp.ClientError, web.RequestPayloadError):
-            return _last(400)
+            return _closing_response(400)
         finally:
             self._busy.discard(protocol)
 
@@ -110,8 +114,8 @@
             return web.Response(status=405, headers={"Allow": route.method})
         body = await _read(request, route.limit)
         if body is None:
-            return _last(413)
-        for _ in range(LOOKS_FOR_EOF):
+            return _closing_response(413)
+        for _ in range(EOF_CHECK_ROUNDS):
             await asyncio.sleep(0)  # an asker that is gone cancels this: its request costs no more
         answer = await route.handler(body, rest)
         return web.Response(status=answer.status, body=answer.body, content_type=answer.media)
@@ -123,7 +127,7 @@
         return self._routes.get(base + "/"), rest
 
 
-class _Closed(asyncio.Protocol):
+class _RejectedConnection(asyncio.Protocol):
     """A connection above the bound."""
 
     def connection_made(self, transport) -> None:
@@ -133,7 +137,7 @@
 async def _read(request: web.BaseRequest, limit: int) -> bytes | None:
     """The body, None where it is larger than the limit. Raises TimeoutError."""
     body = bytearray()
-    async with asyncio.timeout(BODY_SECONDS):
+    async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
         async for chunk in request.content.iter_any():
             body += chunk
             if len(body) > limit:
@@ -141,7 +145,7 @@
     return bytes(body)
 
 
-def _last(status: int) -> web.Response:
+def _closing_response(status: int) -> web.Response:
     answer = web.Response(status=status)
     answer.force_close()
     return answer
--- a/ryestack/control/snapshot_file.py
+++ b/ryestack/control/snapshot_file.py
@@ -53,9 +53,9 @@
     raise BadStorage(f"{path}: the snapshot has no end")
 
 
-def replace(fresh: Path, path: Path) -> None:
+def replace(replacement: Path, path: Path) -> None:
     """Put a whole file in the place of another, to last."""
-    os.replace(fresh, path)
+    os.replace(replacement, path)
     sync_folder(path.parent)
 
 
@@ -71,8 +71,8 @@
 def _frames(path: Path, file) -> Iterator[bytes]:
     try:
         yield from read_frames(file)
-    except DamagedFrame as problem:
-        raise BadStorage(f"{path}: {problem}") from None
+    except DamagedFrame as error:
+        raise BadStorage(f"{path}: {error}") from None
 
 
 def _decode_head(path: Path, data: bytes, cluster: str) -> SnapshotHead:
@@ -89,5 +89,5 @@
         if isinstance(found, int) and found > newest:
             raise BadStorage(f"{path}: is of format {found}, this program reads {newest}")
         return msgspec.msgpack.decode(data, type=kind)
-    except msgspec.MsgspecError as problem:
-        raise BadStorage(f"{path}: its first record is not readable: {problem}") from None
+    except msgspec.MsgspecError as error:
+        raise BadStorage(f"{path}: its first record is not readable: {error}") from None
--- a/ryestack/control/status.py
+++ b/ryestack/control/status.py
@@ -67,8 +67,8 @@
         raise BadMessage(f"{len(body)} bytes, {MAX_MESSAGE_BYTES} at most")
     try:
         report = _reports.decode(body)
-    except _FAULTS as problem:
-        raise BadMessage(str(problem)) from None
+    except _FAULTS as error:
+        raise BadMessage(str(error)) from None
     if len(report.relays) > MAX_REPORTS:
         raise BadMessage(f"{len(report.relays)} relays, {MAX_REPORTS} at most")
     return report
@@ -88,18 +88,18 @@
 
     def __init__(self, machines: Iterable[str]):
         self._machines = frozenset(machines)
-        self._told: dict[str, tuple[Report, float]] = {}
+        self._received: dict[str, tuple[Report, float]] = {}
 
     def take(self, report: Report, now: float) -> bool:
         """Whether the machine may report."""
         if report.machine not in self._machines:
             return False
-        self._told[report.machine] = (report, now)
+        self._received[report.machine] = (report, now)
         return True
 
     def status(self, known: Iterable[str], version: int, now: float) -> RelaysStatus:
         """known: the relays in the set; version: the newest there is."""
-        told = {name: row for name, row in self._told.items() if now - row[1] < FORGET_SECONDS}
+        told = {name: row for name, row in self._received.items() if now - row[1] < FORGET_SECONDS}
         newest = _newest_states(told.values(), now)
         known = set(known)
         lagging = [LaggingRelay(n, state.applied) for n, state in newest.items() if state.applied < version]
@@ -122,7 +122,7 @@
         """The version that each machine has, of those that told of late."""
         return {
             name: report.version
-            for name, (report, at) in sorted(self._told.items())
+            for name, (report, at) in sorted(self._received.items())
             if now - at < FORGET_SECONDS
         }
 
--- a/ryestack/control/storage.py
+++ b/ryestack/control/storage.py
@@ -28,14 +28,14 @@
         self.log_path = folder / "control.log"
         self.snapshot_path = folder / "control.snapshot"
         self._incoming = folder / "control.snapshot.incoming"
-        self._fresh = folder / "control.snapshot.new"
+        self._prepared = folder / "control.snapshot.new"
         self._lock = _lock(folder / "control.lock")
         self._log, self.log_bytes, self.snapshot_bytes = -1, 0, 0
 
     def load(self) -> Persisted:
         """What is stored, ready for more. Raises BadStorage, OSError."""
         self._incoming.unlink(missing_ok=True)
-        self._fresh.unlink(missing_ok=True)
+        self._prepared.unlink(missing_ok=True)
         if not self.log_path.exists():
             if self.snapshot_path.exists():
                 raise BadStorage(f"{self.log_path}: is missing, but {self.snapshot_path.name} is there")
@@ -51,40 +51,40 @@
 
         OSError: nobody knows what is on disk, and the machine has to end.
         """
-        kept: list[LogRecord] = []
+        log_records: list[LogRecord] = []
         for record in records:
             if isinstance(record, NewPiece):
-                self._append(kept)
-                kept = self._store_piece(record)
+                self._append(log_records)
+                log_records = self._store_piece(record)
             else:
-                kept.append(record)
-        self._append(kept)
+                log_records.append(record)
+        self._append(log_records)
 
     def prepare_snapshot(self, position: int, term: int, parts: Iterable[bytes]) -> None:
         """Write a snapshot beside the one that stands. Raises StorageFull, OSError."""
         try:
-            write_snapshot(self._fresh, SnapshotHead(FORMAT, self.cluster, position, term), parts)
-        except OSError as problem:
-            self._fresh.unlink(missing_ok=True)
-            raise _full_or_lost(problem) from None
+            write_snapshot(self._prepared, SnapshotHead(FORMAT, self.cluster, position, term), parts)
+        except OSError as error:
+            self._prepared.unlink(missing_ok=True)
+            raise _storage_error(error) from None
 
     def install_snapshot(self) -> None:
         """Put the prepared snapshot in the place of the one that stands."""
-        replace(self._fresh, self.snapshot_path)
+        replace(self._prepared, self.snapshot_path)
         self._measure_snapshot()
 
     def rewrite_log(self, content: Persisted) -> None:
         """Put a log with just this content in the place of the old one. Raises StorageFull, OSError."""
         try:
             write_log(self.log_path, self.cluster, self.machine, content)
-        except OSError as problem:
-            raise _full_or_lost(problem) from None
+        except OSError as error:
+            raise _storage_error(error) from None
         os.close(self._log)
         self._open_log()
 
     def drop_prepared(self) -> None:
         """The prepared snapshot is not wanted after all."""
-        self._fresh.unlink(missing_ok=True)
+        self._prepared.unlink(missing_ok=True)
 
     def read_snapshot(self) -> Iterator[bytes]:
         """The parts of the snapshot that stands, none if there is none. Raises BadStorage."""
@@ -128,8 +128,8 @@
                 file.flush()
                 if piece.done:
                     os.fsync(file.fileno())
-        except OSError as problem:
-            raise _full_or_lost(problem) from None
+        except OSError as error:
+            raise _storage_error(error) from None
         if not piece.done:
             return []
         self._check_incoming(piece)
@@ -156,9 +156,9 @@
             written = 0
             while written < len(data):
                 written += os.pwrite(self._log, data[written:], self.log_bytes + written)
-        except OSError as problem:
+        except OSError as error:
             os.ftruncate(self._log, self.log_bytes)
-            raise _full_or_lost(problem) from None
+            raise _storage_error(error) from None
         os.fsync(self._log)
         self.log_bytes += len(data)
 
@@ -168,10 +168,10 @@
         sync_folder(self.folder)
 
 
-def _full_or_lost(problem: OSError) -> Exception:
-    if is_full(problem):
-        return StorageFull(f"{problem.filename or 'the log'}: {problem.strerror}")
-    return problem
+def _storage_error(error: OSError) -> Exception:
+    if is_full(error):
+        return StorageFull(f"{error.filename or 'the log'}: {error.strerror}")
+    return error
 
 
 def _lock(path: Path) -> int:
--- a/ryestack/control/storage_errors.py
+++ b/ryestack/control/storage_errors.py
@@ -13,6 +13,6 @@
     """There was no room: nothing of it is stored, what was stored before stands."""
 
 
-def is_full(problem: OSError) -> bool:
+def is_full(error: OSError) -> bool:
     """Whether the error says that there is no room."""
-    return problem.errno in FULL
+    return error.errno in FULL
--- a/ryestack/control/subscriber.py
+++ b/ryestack/control/subscriber.py
@@ -26,9 +26,9 @@
 from .staging import MAX_STAGED_BYTES, BadAnswer, Staging, TooLarge
 from .subscription import TABLE, Ask, Identity, Input, State
 
-LEAST_HOLD = 0.8  # part of the time that a poll is held that is not left to chance
-START_SECONDS = 0.3  # that the first polls of relays that start together spread over
-OVERSIZE_REST_SECONDS = 60.0  # before a scope that was too large is looked at again
+MIN_HOLD_FRACTION = 0.8  # part of the time that a poll is held that is not left to chance
+START_SPREAD_SECONDS = 0.3  # that the first polls of relays that start together spread over
+OVERSIZE_RETRY_SECONDS = 60.0  # before a scope that was too large is looked at again
 
 
 class Subscriber:
@@ -40,69 +40,69 @@
         identity: Identity,
         machines: Sequence[Machine],
         hold: float,
-        chance: Random,
+        rng: Random,
         now: float,
         kept: Kept | None = None,
         limit_bytes: int = MAX_STAGED_BYTES,
     ) -> None:
         if not 0 < len(identity.relay) <= MAX_NAME_LENGTH:
             raise ValueError(f"a relay's name has 1 to {MAX_NAME_LENGTH} characters")
-        self.identity, self._hold, self._chance, self._limit = identity, hold, chance, limit_bytes
-        self._failover = Failover(machine_order(identity.relay, identity.region, machines), chance)
+        self.identity, self._hold, self._rng, self._limit = identity, hold, rng, limit_bytes
+        self._failover = Failover(machine_order(identity.relay, identity.region, machines), rng)
         self.holdings = Holdings(kept)
         self._staging = Staging(self.holdings, limit_bytes)
-        self.state, self.sure_at = State.WAITING, -inf
-        self.wake_at = now + (chance.uniform(0.0, START_SECONDS) if kept else 0.0)
+        self.state, self.confirmed_at = State.WAITING, -inf
+        self.wake_at = now + (rng.uniform(0.0, START_SPREAD_SECONDS) if kept else 0.0)
         self.rejected: Rejection | None = None
-        self._number, self._least_at = 0, now
-        self._out: Ask | None = None
+        self._number, self._earliest_poll_at = 0, now
+        self._outstanding: Ask | None = None
         self._update: Update | None = None
 
     def step(self, now: float) -> Ask | Update | None:
         """What to do now: send a request, apply an update, or nothing before `wake_at` or an answer."""
         if self.state is State.WAITING and now >= self.wake_at:
-            self._happen(Input.DUE, now)
-            return self._out
+            self._transition(Input.DUE, now)
+            return self._outstanding
         return self._update
 
     def heard(self, number: int, answer: Answer, now: float) -> Input | None:
         """The answer to the request of that number, and what was made of it; one to any other request
         changes nothing."""
-        if self.state is not State.ASKING or number != self._out.number:
+        if self.state is not State.ASKING or number != self._outstanding.number:
             return None
-        what = self._read(answer)
-        self._happen(what, now)
+        what = self._classify(answer)
+        self._transition(what, now)
         return what
 
     def failed(self, number: int, now: float) -> None:
         """The request of that number got no answer, or none that can be read."""
-        if self.state is State.ASKING and number == self._out.number:
-            self._happen(Input.FAILED, now)
+        if self.state is State.ASKING and number == self._outstanding.number:
+            self._transition(Input.FAILED, now)
 
     def commit(self, now: float) -> None:
         """The update that `step` gave is in force."""
-        self._happen(Input.COMMITTED, now)
+        self._transition(Input.COMMITTED, now)
 
     def reject(self, key: str, reason: str, now: float) -> None:
         """The update can't be used, for the value of that key; what was in force stays."""
         self.rejected = Rejection(self._update.version, key, reason)
-        self._happen(Input.REJECTED, now)
+        self._transition(Input.REJECTED, now)
 
     def age(self, now: float) -> float:
         """Seconds since what is in force was known to be the newest, inf if it never was."""
-        return now - self.sure_at
+        return now - self.confirmed_at
 
     @property
     def machine(self) -> Machine:
         """The control machine that is asked now."""
         return self._failover.machine
 
-    def _happen(self, what: Input, now: float) -> None:
+    def _transition(self, what: Input, now: float) -> None:
         self.state, effect = TABLE[self.state, what]
         getattr(self, effect)(now)
 
-    def _read(self, answer: Answer) -> Input:
-        staging, asked = self._staging, self._out.request
+    def _classify(self, answer: Answer) -> Input:
+        staging, asked = self._staging, self._outstanding.request
         try:
             if isinstance(answer, Piece) and isinstance(asked, Fetch):
                 staging.add_piece(asked.shards, answer)
@@ -121,9 +121,9 @@
             return Input.FAILED
         except BadAnswer:
             return Input.FAILED
-        except TooLarge as found:
+        except TooLarge as error:
             reason = f"the scope takes more than {self._limit} bytes"
-            self.rejected = Rejection(self._staging.need, str(found), reason)
+            self.rejected = Rejection(self._staging.need, str(error), reason)
             return Input.OVERSIZE
 
     def _read_delta(self, more: bool) -> Input:
@@ -135,14 +135,14 @@
 
     # -- effects ----------------------------------------------------------------------------------
 
-    def _ask(self, now: float) -> None:
+    def _send_request(self, now: float) -> None:
         machine = self._failover.choose(now)
         shards = self._staging.wanted()
         request = self._fetch(shards) if shards else self._poll()
         hold = request.hold if isinstance(request, Poll) else 0.0
         self._number += 1
-        self._out = Ask(self._number, machine, request, hold + self._failover.patience())
-        self._least_at = now + hold / 2.0  # a machine that can hold no more polls answers at once
+        self._outstanding = Ask(self._number, machine, request, hold + self._failover.answer_timeout())
+        self._earliest_poll_at = now + hold / 2.0  # a machine that can hold no more polls answers at once
         self.wake_at = inf
 
     def _fetch(self, shards: list[str]) -> Fetch:
@@ -152,39 +152,39 @@
         staging, who = self._staging, self.identity
         hold = 0.0
         if self._failover.confirmed and staging.complete():
-            hold = self._hold * self._chance.uniform(LEAST_HOLD, 1.0)
+            hold = self._hold * self._rng.uniform(MIN_HOLD_FRACTION, 1.0)
         head = who.cluster, who.relay, who.session, who.region, who.zone
         return Poll(*head, staging.position or 0, staging.digest, hold, self.holdings.version, self.rejected)
 
-    def _go_on(self, now: float) -> None:
+    def _poll_again(self, now: float) -> None:
         """The machine answers: ask it again at once."""
         self._failover.answered()
-        self._out, self.wake_at = None, now
+        self._outstanding, self.wake_at = None, now
 
     def _confirm(self, now: float) -> None:
-        self._go_on(now)
-        self.wake_at = max(now, self._least_at)
+        self._poll_again(now)
+        self.wake_at = max(now, self._earliest_poll_at)
         self.holdings.version = self._staging.position
-        self.rejected, self.sure_at = None, now
+        self.rejected, self.confirmed_at = None, now
 
-    def _offer(self, now: float) -> None:
-        self._go_on(now)
+    def _offer_update(self, now: float) -> None:
+        self._poll_again(now)
         self._update, self.wake_at = self._staging.update(), inf
 
-    def _take(self, now: float) -> None:
+    def _apply_update(self, now: float) -> None:
         self._staging.apply(self._update)
         self._staging = Staging(self.holdings, self._limit)
         self._update, self.rejected = None, None
-        self.sure_at = self.wake_at = now
+        self.confirmed_at = self.wake_at = now
 
-    def _keep(self, now: float) -> None:
+    def _retain_staged(self, now: float) -> None:
         """The staged version stays, so that a later change of the key can mend it; after each further poll
         it is offered again, for what kept it from being used may have been the relay's own."""
-        self._update, self.wake_at = None, max(now, self._least_at)
+        self._update, self.wake_at = None, max(now, self._earliest_poll_at)
 
     def _fail_over(self, now: float) -> None:
-        self._out, self.wake_at = None, self._failover.failed(now)
+        self._outstanding, self.wake_at = None, self._failover.failed(now)
 
-    def _give_up(self, now: float) -> None:
-        self._out, self._staging = None, Staging(self.holdings, self._limit)
-        self.wake_at = now + OVERSIZE_REST_SECONDS * self._chance.uniform(0.5, 1.0)
+    def _discard_oversize(self, now: float) -> None:
+        self._outstanding, self._staging = None, Staging(self.holdings, self._limit)
+        self.wake_at = now + OVERSIZE_RETRY_SECONDS * self._rng.uniform(0.5, 1.0)
--- a/ryestack/control/subscription.py
+++ b/ryestack/control/subscription.py
@@ -32,15 +32,15 @@
 
 # (state, input) -> (next state, effect: a method of the subscriber)
 TABLE = {
-    (State.WAITING, Input.DUE): (State.ASKING, "_ask"),
+    (State.WAITING, Input.DUE): (State.ASKING, "_send_request"),
     (State.ASKING, Input.CURRENT): (State.WAITING, "_confirm"),
-    (State.ASKING, Input.CHANGED): (State.READY, "_offer"),
-    (State.ASKING, Input.MORE): (State.WAITING, "_go_on"),
+    (State.ASKING, Input.CHANGED): (State.READY, "_offer_update"),
+    (State.ASKING, Input.MORE): (State.WAITING, "_poll_again"),
     (State.ASKING, Input.BEHIND): (State.WAITING, "_fail_over"),
     (State.ASKING, Input.FAILED): (State.WAITING, "_fail_over"),
-    (State.ASKING, Input.OVERSIZE): (State.WAITING, "_give_up"),
-    (State.READY, Input.COMMITTED): (State.WAITING, "_take"),
-    (State.READY, Input.REJECTED): (State.WAITING, "_keep"),
+    (State.ASKING, Input.OVERSIZE): (State.WAITING, "_discard_oversize"),
+    (State.READY, Input.COMMITTED): (State.WAITING, "_apply_update"),
+    (State.READY, Input.REJECTED): (State.WAITING, "_retain_staged"),
 }
 
 
--- a/ryestack/control/transport.py
+++ b/ryestack/control/transport.py
@@ -12,9 +12,9 @@
 from .consensus_messages import MAX_BATCH, Append, Message, SnapshotPiece
 
 PATH = "/consensus"
-POSTS_AT_ONCE = 3  # to a voter: one that is lost must not hold up the next
-POST_SECONDS = 2.0
-REST_SECONDS = 0.1  # after a failure
+CONCURRENT_POSTS = 3  # to a voter: one that is lost must not hold up the next
+POST_TIMEOUT_SECONDS = 2.0
+RETRY_DELAY_SECONDS = 0.1  # after a failure
 MAX_QUEUED = 64  # messages for a voter; the oldest make room
 BATCH_BYTES = 1024 * 1024  # of payloads in one body, unless a single message is larger
 
@@ -26,36 +26,41 @@
         self._session = session
         self._addresses = addresses
         self._queues: dict[str, deque[Message]] = {name: deque(maxlen=MAX_QUEUED) for name in addresses}
-        self._filled = {name: asyncio.Event() for name in addresses}
+        self._not_empty = {name: asyncio.Event() for name in addresses}
         self._tasks = [
-            asyncio.ensure_future(self._carry(name)) for name in addresses for _ in range(POSTS_AT_ONCE)
+            asyncio.ensure_future(self._send_queued(name))
+            for name in addresses
+            for _ in range(CONCURRENT_POSTS)
         ]
 
     def send(self, messages: list[Message]) -> None:
         """Returns at once."""
         for message in messages:
             self._queues[message.recipient].append(message)
-            self._filled[message.recipient].set()
+            self._not_empty[message.recipient].set()
 
     async def close(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _carry(self, voter: str) -> None:
-        queue, filled = self._queues[voter], self._filled[voter]
+    async def _send_queued(self, voter: str) -> None:
+        queue, not_empty = self._queues[voter], self._not_empty[voter]
         url = f"http://{self._addresses[voter]}{PATH}"
         while True:
             if not queue:
-                filled.clear()
-                await filled.wait()
+                not_empty.clear()
+                await not_empty.wait()
                 continue
             body = consensus_messages.encode(_batch(queue))
             try:
-                async with asyncio.timeout(POST_SECONDS), self._session.post(url, data=body) as answer:
+                async with (
+                    asyncio.timeout(POST_TIMEOUT_SECONDS),
+                    self._session.post(url, data=body) as answer,
+                ):
                     await answer.read()
             except (aiohttp.ClientError, OSError, TimeoutError):
-                await asyncio.sleep(REST_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
 
 
 def _batch(queue: deque[Message]) -> list[Message]:
--- a/ryestack/control/zone_spread.py
+++ b/ryestack/control/zone_spread.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from ryestack.control.bounded_load import Probes, deal_seats, fair_shares
+from ryestack.control.bounded_load import Probes, assign_replicas, fair_shares
 from ryestack.control.stable_hash import as_fraction, hash_table
 
-LEAST_EXTRA_WEIGHT = 1e-9
+MIN_EXTRA_WEIGHT = 1e-9
 """Weight of a zone that already has more than its share, when one of the last seats of a shard is placed."""
 
 Zones = Mapping[str, Mapping[str, float]]
 """The relays of one region: zone to name to weight."""
 
 
-class SeatPlan(msgspec.Struct, frozen=True):
+class ReplicaPlan(msgspec.Struct, frozen=True):
     """How the seats of a shard are spread over the zones of a region.
 
     base: seats that every shard has in a zone; extra: seats that are left, at most one a zone, which differ
@@ -26,29 +26,29 @@
     extra: int
     extra_weights: dict[str, float]
 
-    def seats(self, numbers: Sequence[int]) -> dict[str, dict[int, int]]:
+    def replicas(self, numbers: Sequence[int]) -> dict[str, dict[int, int]]:
         """Zone to shard number to seats."""
-        seats = {zone: dict.fromkeys(numbers, count) for zone, count in self.base.items()}
+        replicas = {zone: dict.fromkeys(numbers, count) for zone, count in self.base.items()}
         if not self.extra:
-            return seats
+            return replicas
         scores = [_rendezvous_scores(zone, weight, numbers) for zone, weight in self.extra_weights.items()]
         zones = list(self.extra_weights)
         for number, row in zip(numbers, zip(*scores, strict=True), strict=True):
             for rank in sorted(range(len(row)), key=row.__getitem__)[: self.extra]:
-                seats[zones[rank]][number] += 1
-        return seats
+                replicas[zones[rank]][number] += 1
+        return replicas
 
 
 def _rendezvous_scores(zone: str, weight: float, numbers: Sequence[int]) -> list[float]:
     """Exponential draws: the lowest of several zones is each one's in proportion to its weight."""
-    words = hash_table(f"zone|{zone}", max(numbers, default=-1) + 1, 1)
-    return [-math.log(as_fraction(words[number][0])) / weight for number in numbers]
+    draws = hash_table(f"zone|{zone}", max(numbers, default=-1) + 1, 1)
+    return [-math.log(as_fraction(draws[number][0])) / weight for number in numbers]
 
 
-def plan_seats(zones: Zones, seats: int) -> SeatPlan:
+def plan_replicas(zones: Zones, replicas: int) -> ReplicaPlan:
     """Deals seats to zones in rounds, one each while it has relays left; the last round may be partial."""
     base = dict.fromkeys(sorted(zones), 0)
-    remaining = seats
+    remaining = replicas
     eligible = list(base)
     while eligible and remaining >= len(eligible):
         remaining -= len(eligible)
@@ -57,17 +57,17 @@
         eligible = [zone for zone in eligible if len(zones[zone]) > base[zone]]
     weights = {zone: math.fsum(zones[zone].values()) for zone in base}
     limits = {zone: float(len(zones[zone])) for zone in base}
-    shares = fair_shares(seats, weights, limits)
-    extra_weights = {zone: max(LEAST_EXTRA_WEIGHT, min(1.0, shares[zone] - base[zone])) for zone in eligible}
-    return SeatPlan(base=base, extra=remaining if eligible else 0, extra_weights=extra_weights)
+    shares = fair_shares(replicas, weights, limits)
+    extra_weights = {zone: max(MIN_EXTRA_WEIGHT, min(1.0, shares[zone] - base[zone])) for zone in eligible}
+    return ReplicaPlan(base=base, extra=remaining if eligible else 0, extra_weights=extra_weights)
 
 
-def deal_in_region(
-    zones: Zones, numbers: Sequence[int], seats: int, slack: float, probes: Probes
+def assign_in_region(
+    zones: Zones, numbers: Sequence[int], replicas: int, slack: float, probes: Probes
 ) -> dict[int, list[str]]:
     """Shard number to relays of one region: `seats` each, or all relays of the region if it has fewer."""
-    dealt: dict[int, list[str]] = {number: [] for number in numbers}
-    for zone, wanted in plan_seats(zones, seats).seats(numbers).items():
-        for number, relays in deal_seats(zones[zone], wanted, slack, probes).items():
-            dealt[number] += relays
-    return dealt
+    assigned: dict[int, list[str]] = {number: [] for number in numbers}
+    for zone, replica_counts in plan_replicas(zones, replicas).replicas(numbers).items():
+        for number, relays in assign_replicas(zones[zone], replica_counts, slack, probes).items():
+            assigned[number] += relays
+    return assigned
--- a/tests/test_control_assignment.py
+++ b/tests/test_control_assignment.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from ryestack.control.assignment import Assignment, RelayMember, UnknownShard, shard_key, shard_of
-from ryestack.control.bounded_load import capacity, deal_seats, fair_shares, load_bound, shard_probes
+from ryestack.control.bounded_load import assign_replicas, capacity, fair_shares, load_bound, shard_probes
 
 SHARDS = 24
 REGIONS = ("ap-1", "eu-1", "us-1")
@@ -136,7 +136,7 @@
         """Also where the room left is at relays that a shard has already: an earlier shard swaps with it."""
         base = data.draw(st.integers(0, len(weights) - 1))
         wanted = {number: base + data.draw(st.integers(0, 1)) for number in range(count)}
-        dealt = deal_seats(weights, wanted, 1e-6, shard_probes(count))
+        dealt = assign_replicas(weights, wanted, 1e-6, shard_probes(count))
         total = sum(wanted.values())
         shares = fair_shares(total, weights, dict.fromkeys(weights, count))
         self.assertAlmostEqual(math.fsum(shares.values()), total)
--- a/tests/test_control_change_log.py
+++ b/tests/test_control_change_log.py
@@ -36,7 +36,7 @@
     task = asyncio.ensure_future(machine.run(stop))
     try:
         async with asyncio.timeout(60):
-            while not machine.leads() or not machine.status()["version"]:
+            while not machine.is_leader() or not machine.status()["version"]:
                 await asyncio.sleep(0.02)
             await work(machine)
             stop.set()
@@ -144,7 +144,7 @@
         assert time.monotonic() - began < 1.0
         answer = await machine.polls.answer(poll)
         assert isinstance(answer, Scope) and answer.version <= version and len(answer.shards) == 8193
-        assert taken == [True] and machine.leads()
+        assert taken == [True] and machine.is_leader()
 
     async def play():
         await running(lone_voter(tmp_path), change)
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -6,7 +6,7 @@
 
 from ryestack.control.consensus_state import ReplicaState, Role
 from ryestack.control.leadership import Leadership
-from ryestack.control.log_acceptance import Follower
+from ryestack.control.log_acceptance import LogAcceptor
 
 from .consensus_net import Calm, Net, examples
 from .consensus_voter import TIMEOUT, Broken
@@ -34,7 +34,7 @@
     """Two writers: a leader commits what an earlier one left once a majority has it."""
 
     def advance(self, now):
-        matches = sorted([self.on_disk, *(p.match for p in self.progress.values())], reverse=True)
+        matches = sorted([self.persisted_position, *(p.match for p in self.progress.values())], reverse=True)
         self.state.commit = max(self.state.commit, matches[self.state.majority - 1])
 
     patch.setattr(Leadership, "_advance_commit", advance)
@@ -42,7 +42,7 @@
 
 def acknowledged_before_majority(patch):
     def advance(self, now):
-        self.state.commit = max(self.state.commit, self.on_disk)
+        self.state.commit = max(self.state.commit, self.persisted_position)
 
     patch.setattr(Leadership, "_advance_commit", advance)
 
@@ -53,7 +53,7 @@
         if new:
             self.state.append(new)
 
-    patch.setattr(Follower, "_store", store)
+    patch.setattr(LogAcceptor, "_store", store)
 
 
 def first_found(count: int) -> tuple[int, str]:
--- a/tests/test_control_distribution.py
+++ b/tests/test_control_distribution.py
@@ -138,7 +138,7 @@
 
 
 def moving_without_a_deletion(self, entry):
-    self._place(entry)
+    self._insert(entry)
     return {entry.shard}
 
 
@@ -156,7 +156,7 @@
     "acknowledged before applied": (Subscriber, "_poll", acknowledging_what_is_staged),
     "changes between pieces lost": (Staging, "add_piece", on_from_the_newest_piece),
     "deletions forgotten": (Catalogue, "_compact", compacting_below_the_same_floor),
-    "a move forgets where it came from": (Catalogue, "_put", moving_without_a_deletion),
+    "a move forgets where it came from": (Catalogue, "_apply_entry", moving_without_a_deletion),
     "a shard that came back is taken as followed": (Staging, "retarget", returned_shards_taken_as_followed),
     "what is gone stays": (Staging, "_still_there", lambda self, key, after: True),
 }
--- a/tests/test_control_gathering.py
+++ b/tests/test_control_gathering.py
@@ -69,7 +69,7 @@
 
     def ask(self, source: Source) -> None:
         try:
-            gathered = self.gathering.hear(source.ask(self.gathering.request()))
+            gathered = self.gathering.receive(source.ask(self.gathering.request()))
         except NotAhead:
             return
         if gathered is None:
@@ -115,11 +115,11 @@
 def test_an_answer_that_does_not_go_with_the_request_is_refused(answer):
     gathering = Gathering("c", "f", 1.0)
     with pytest.raises(BadAnswer):
-        gathering.hear(answer)
+        gathering.receive(answer)
 
 
 def test_pieces_without_end_are_refused():
     gathering = Gathering("c", "f", 1.0)
-    gathering.hear(TooOld(3))
+    gathering.receive(TooOld(3))
     with pytest.raises(BadAnswer):
-        gathering.hear(Piece("**", 3, [], False))
+        gathering.receive(Piece("**", 3, [], False))
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -149,7 +149,7 @@
 
 def test_polls_and_reports_are_bounded(monkeypatch):
     made = publisher()
-    monkeypatch.setattr(made._relays, "_most", 5)
+    monkeypatch.setattr(made._relays, "_limit", 5)
     monkeypatch.setattr(publishers, "MAX_REPORTS", 7)
     answers = [made.hear(poll(made, f"r{n}"), 1.0, n) for n in range(20)]
     assert answers[:5] == [None] * 5 and all(isinstance(answer, Delta) for answer in answers[5:])
--- a/tests/test_control_server.py
+++ b/tests/test_control_server.py
@@ -73,7 +73,7 @@
 def test_above_the_bound_idle_connections_make_room_and_busy_ones_stay():
     async def play():
         async with Served() as served:
-            served.server._bound = 3
+            served.server._max_connections = 3
             held = [await served.ask(b"hold") for _ in range(2)]
             idle = await served.ask(b"idle")
             assert await status(idle[0]) == 200
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -35,7 +35,7 @@
     s = subscriber(Kept(2, ["*", "eu/1"], [entry(7, 2), entry(8, 2)]))
     s.heard(asked(s, 1.0).number, messages.Delta(2, 4, [entry(8, 4, b"4")], 8, more=True), 1.0)
     assert asked(s, 1.0).request.version == 4
-    s.heard(s._out.number, messages.Delta(4, 5, [], 5), 1.0)
+    s.heard(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
     assert s.state is State.WAITING and s.holdings.version == 2
     s.heard(asked(s, 9.0).number, messages.Delta(5, 8, [entry(7, 8, b"8")], 8), 9.0)
     update = s.step(9.0)
@@ -132,11 +132,11 @@
     s.heard(asked(s, 1.0).number, messages.Piece("eu/1", 4, [entry(2, 3)], True), 1.0)  # two versions
     request = asked(s, 1.0).request
     assert (request.version, request.hold, request.applied) == (4, 0.0, 0)
-    s.heard(s._out.number, messages.Delta(4, 5, [], 5), 1.0)
+    s.heard(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
     s.reject("destination/2", "no", 1.0)
     request = asked(s, 1.0).request
     assert (request.version, request.applied, request.rejected.version) == (5, 0, 5) and request.hold >= 4.0
-    s.heard(s._out.number, messages.Delta(5, 5, [], 5), 5.0)
+    s.heard(s._outstanding.number, messages.Delta(5, 5, [], 5), 5.0)
     assert s.step(5.0).version == 5
     s.reject("destination/2", "no", 5.0)
     s.heard(asked(s, 5.0).number, messages.Delta(5, 5, [], 5), 5.0)  # by a machine that can hold no more
@@ -147,8 +147,8 @@
 def test_where_many_machines_fail_in_a_row_an_answer_may_take_longer():
     failover, found = Failover([Machine(f"m{n}", f"m{n}:1") for n in range(3)], random.Random(1)), []
     for number in range(7):
-        found.append(failover.patience())
+        found.append(failover.answer_timeout())
         failover.failed(float(number))
     assert found == [2.0, 2.0, 4.0, 8.0, 16.0, 16.0, 16.0]
     failover.answered()
-    assert failover.patience() == 2.0
+    assert failover.answer_timeout() == 2.0
