--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -21,7 +21,7 @@
 from ryestack.control.publisher import Publisher
 from ryestack.control.storage import Storage
 from ryestack.control.subscriber import Subscriber
-from ryestack.control.subscription import Ask, Identity
+from ryestack.control.subscription import Identity, PendingRequest
 
 REGIONS = [f"region-{number}" for number in range(7)]
 ZONES = [(REGIONS[number % 7], f"zone-{number:02}") for number in range(16)]
@@ -88,7 +88,7 @@
     asked = messages.encode(poll_of(publisher, "relay-00007"))
 
     def poll() -> None:
-        answer = publisher.hear(messages.decode_request(asked), 2e6, next(turn))
+        answer = publisher.handle(messages.decode_request(asked), 2e6, next(turn))
         assert answer is None
         publisher.due(2e6)
 
@@ -156,14 +156,14 @@
         for token, answer in self.publisher.due(now):
             self.hear(token, answer, now)
         while (step := self.subscriber.step(now)) is not None:
-            if not isinstance(step, Ask):
+            if not isinstance(step, PendingRequest):
                 self.subscriber.commit(now)
                 continue
             if step.number == self.number:
                 return  # it is out
             self.number, body = step.number, messages.encode(step.request)
             self.bytes += len(body)
-            answer = self.publisher.hear(messages.decode_request(body), now, step.number)
+            answer = self.publisher.handle(messages.decode_request(body), now, step.number)
             if answer is None:
                 return
             self.hear(step.number, answer, now)
@@ -171,7 +171,7 @@
     def hear(self, number: int, answer, now: float) -> None:
         body = messages.encode(answer)
         self.bytes += len(body)
-        self.subscriber.heard(number, messages.decode_answer(body), now)
+        self.subscriber.handle_answer(number, messages.decode_answer(body), now)
 
 
 # -- the change log --------------------------------------------------------------------------------------
--- a/ryestack/control/client.py
+++ b/ryestack/control/client.py
@@ -11,11 +11,11 @@
 import aiohttp
 
 from . import messages
-from .holdings import Kept, Update
+from .holdings import HoldingsSnapshot, Update
 from .messages import MAX_MESSAGE_BYTES, PATH, Answer, BadMessage, Entry, Rejection
 from .order import Machine
 from .subscriber import Subscriber
-from .subscription import Ask, Identity, Input
+from .subscription import Identity, Input, PendingRequest
 
 # What aiohttp would add to each request: an idle relay would pay for it every few seconds.
 OMITTED_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
@@ -29,7 +29,7 @@
 Check = Callable[[list[Entry]], Rejection | None]
 """check(entries): None where they can all be used, else what the relay says of the one that can't; its
 version is of no account."""
-Trouble = Callable[[str], None]
+OnFailure = Callable[[str], None]
 """trouble(why): a machine gave no answer that could be used; "" once one does again."""
 
 
@@ -53,15 +53,15 @@
         *,
         hold: float,
         clock: Callable[[], float],
-        chance: Random,
+        rng: Random,
         session: aiohttp.ClientSession | None = None,
-        kept: Kept | None = None,
-        trouble: Trouble | None = None,
+        snapshot: HoldingsSnapshot | None = None,
+        on_failure: OnFailure | None = None,
     ) -> None:
         self._apply, self._check, self._clock = apply, check, clock
-        self._trouble, self._failing = trouble, False
+        self._on_failure, self._failing = on_failure, False
         self._owns_session, self._session = session is None, session or new_session()
-        self.subscriber = Subscriber(identity, machines, hold, chance, clock(), kept)
+        self.subscriber = Subscriber(identity, machines, hold, rng, clock(), snapshot)
         self.requests, self.failures = 0, 0
 
     @property
@@ -81,7 +81,7 @@
         """Follow the scope; ends only by cancellation."""
         while True:
             step = self.subscriber.step(self._clock())
-            if isinstance(step, Ask):
+            if isinstance(step, PendingRequest):
                 await self._send(step)
             elif isinstance(step, Update):
                 self._apply_or_reject(step)
@@ -101,7 +101,7 @@
         else:
             self.subscriber.reject(rejection.key, rejection.reason, self._clock())
 
-    async def _send(self, ask: Ask) -> None:
+    async def _send(self, ask: PendingRequest) -> None:
         self.requests += 1
         try:
             async with asyncio.timeout(ask.timeout):
@@ -111,12 +111,12 @@
             self.subscriber.failed(ask.number, self._clock())
             self._report_failure(f"{ask.machine.name}: {error or type(error).__name__}")
         else:
-            what = self.subscriber.heard(ask.number, answer, self._clock())
+            what = self.subscriber.handle_answer(ask.number, answer, self._clock())
             self._report_failure(
                 f"{ask.machine.name}: {_describe(answer)}" if what in FAILOVER_INPUTS else ""
             )
 
-    async def _post(self, ask: Ask) -> Answer:
+    async def _post(self, ask: PendingRequest) -> Answer:
         url, body = f"http://{ask.machine.address}{PATH}", messages.encode(ask.request)
         async with self._session.post(url, data=body, skip_auto_headers=OMITTED_HEADERS) as response:
             answer = bytearray()
@@ -130,8 +130,8 @@
             return messages.decode_answer(bytes(answer))
 
     def _report_failure(self, why: str) -> None:
-        if self._trouble is not None and (why or self._failing):
-            self._trouble(why)
+        if self._on_failure is not None and (why or self._failing):
+            self._on_failure(why)
         self._failing = bool(why)
 
 
--- a/ryestack/control/holdings.py
+++ b/ryestack/control/holdings.py
@@ -7,7 +7,7 @@
 from .messages import Entry
 
 
-class Kept(msgspec.Struct, frozen=True):
+class HoldingsSnapshot(msgspec.Struct, frozen=True):
     """Holdings as they outlast a process."""
 
     version: int
@@ -26,17 +26,17 @@
 class Holdings:
     """version: 0 before the first is applied; shards: of the scope; tables: shard to key to entry."""
 
-    def __init__(self, kept: Kept | None = None) -> None:
-        self.version = kept.version if kept else 0
-        self.shards = frozenset(kept.shards if kept else ())
+    def __init__(self, snapshot: HoldingsSnapshot | None = None) -> None:
+        self.version = snapshot.version if snapshot else 0
+        self.shards = frozenset(snapshot.shards if snapshot else ())
         self.tables: dict[str, dict[str, Entry]] = {}
         self.by_key: dict[str, Entry] = {}
-        for entry in kept.entries if kept else ():
+        for entry in snapshot.entries if snapshot else ():
             self._insert(entry)
 
-    def kept(self) -> Kept:
+    def snapshot(self) -> HoldingsSnapshot:
         """For `Holdings(kept)` of a later process."""
-        return Kept(self.version, sorted(self.shards), list(self.by_key.values()))
+        return HoldingsSnapshot(self.version, sorted(self.shards), list(self.by_key.values()))
 
     def replace(
         self, version: int, shards: Iterable[str], removed: Iterable[str], live: Iterable[Entry]
--- a/ryestack/control/polls.py
+++ b/ryestack/control/polls.py
@@ -41,7 +41,7 @@
                 return self._answer_while_stale(request, reason)
             self._last_token += 1
             token = self._last_token
-            answer = self._publisher.hear(request, self._clock(), token)
+            answer = self._publisher.handle(request, self._clock(), token)
             if answer is None:
                 self._waiting[token] = asyncio.get_running_loop().create_future()
             self._set_timer()
@@ -115,7 +115,7 @@
     def _answer_while_stale(self, request: Request, reason: str) -> Answer:
         """Whoever lies behind is helped, everybody else should ask another machine."""
         immediate = msgspec.structs.replace(request, hold=0.0)
-        answer = self._publisher.hear(immediate, self._clock(), UNHELD_TOKEN)
+        answer = self._publisher.handle(immediate, self._clock(), UNHELD_TOKEN)
         self._set_timer()
         if answer is None:  # a change of the relays' set is being worked in
             self._publisher.release(UNHELD_TOKEN)
--- a/ryestack/control/publisher.py
+++ b/ryestack/control/publisher.py
@@ -87,7 +87,7 @@
         self.catalogue = catalogue
         self.scopes = self._new_scopes()
         for shard in catalogue.shards():
-            self.scopes.hear(catalogue.live(shard), -inf)
+            self.scopes.note_changes(catalogue.live(shard), -inf)
         self.scopes.refresh(0.0)
         for polls in (self._relays, self._followers):
             for asker in polls.askers():
@@ -100,7 +100,7 @@
             return -inf
         return min(self._relays.next_due(), self._followers.next_due(), self.scopes.due_at)
 
-    def hear(self, request: Request, now: float, token: Hashable) -> Answer | None:
+    def handle(self, request: Request, now: float, token: Hashable) -> Answer | None:
         """The answer, or None where the request is held under its token. Raises Refused."""
         if request.cluster != self.cluster:
             raise Refused(f"this is cluster {self.cluster}")
@@ -116,7 +116,7 @@
         entries: in order of version, all above the catalogue's and `version` at most. Raises OutOfOrder.
         """
         touched = self.catalogue.apply(version, entries)
-        self.scopes.hear(entries, now)
+        self.scopes.note_changes(entries, now)
         for shard in touched:
             if shard == SHARED_SHARD:
                 self._wake_all(now + BATCH_WINDOW_SECONDS)
--- a/ryestack/control/scopes.py
+++ b/ryestack/control/scopes.py
@@ -42,7 +42,7 @@
         self._cached: dict[str, Scope] = {}
         self.due_at = inf  # when waiting changes are to be taken; inf: there are none
 
-    def hear(self, entries: Iterable[Entry], now: float) -> None:
+    def note_changes(self, entries: Iterable[Entry], now: float) -> None:
         """Notes what changed of the relays' set and of the home regions of destinations."""
         for entry in entries:
             if entry.shard == CONTROL_SHARD and entry.key.startswith(RELAY_PREFIX):
--- a/ryestack/control/subscriber.py
+++ b/ryestack/control/subscriber.py
@@ -10,7 +10,7 @@
 from math import inf
 from random import Random
 
-from .holdings import Holdings, Kept, Update
+from .holdings import Holdings, HoldingsSnapshot, Update
 from .messages import (
     MAX_NAME_LENGTH,
     Answer,
@@ -24,7 +24,7 @@
 )
 from .order import Failover, Machine, machine_order
 from .staging import MAX_STAGED_BYTES, BadAnswer, Staging, TooLarge
-from .subscription import TABLE, Ask, Identity, Input, State
+from .subscription import TABLE, Identity, Input, PendingRequest, State
 
 MIN_HOLD_FRACTION = 0.8  # part of the time that a poll is held that is not left to chance
 START_SPREAD_SECONDS = 0.3  # that the first polls of relays that start together spread over
@@ -42,30 +42,30 @@
         hold: float,
         rng: Random,
         now: float,
-        kept: Kept | None = None,
+        snapshot: HoldingsSnapshot | None = None,
         limit_bytes: int = MAX_STAGED_BYTES,
     ) -> None:
         if not 0 < len(identity.relay) <= MAX_NAME_LENGTH:
             raise ValueError(f"a relay's name has 1 to {MAX_NAME_LENGTH} characters")
         self.identity, self._hold, self._rng, self._limit = identity, hold, rng, limit_bytes
         self._failover = Failover(machine_order(identity.relay, identity.region, machines), rng)
-        self.holdings = Holdings(kept)
+        self.holdings = Holdings(snapshot)
         self._staging = Staging(self.holdings, limit_bytes)
         self.state, self.confirmed_at = State.WAITING, -inf
-        self.wake_at = now + (rng.uniform(0.0, START_SPREAD_SECONDS) if kept else 0.0)
+        self.wake_at = now + (rng.uniform(0.0, START_SPREAD_SECONDS) if snapshot else 0.0)
         self.rejected: Rejection | None = None
         self._number, self._earliest_poll_at = 0, now
-        self._outstanding: Ask | None = None
+        self._outstanding: PendingRequest | None = None
         self._update: Update | None = None
 
-    def step(self, now: float) -> Ask | Update | None:
+    def step(self, now: float) -> PendingRequest | Update | None:
         """What to do now: send a request, apply an update, or nothing before `wake_at` or an answer."""
         if self.state is State.WAITING and now >= self.wake_at:
             self._transition(Input.DUE, now)
             return self._outstanding
         return self._update
 
-    def heard(self, number: int, answer: Answer, now: float) -> Input | None:
+    def handle_answer(self, number: int, answer: Answer, now: float) -> Input | None:
         """The answer to the request of that number, and what was made of it; one to any other request
         changes nothing."""
         if self.state is not State.ASKING or number != self._outstanding.number:
@@ -141,7 +141,9 @@
         request = self._fetch(shards) if shards else self._poll()
         hold = request.hold if isinstance(request, Poll) else 0.0
         self._number += 1
-        self._outstanding = Ask(self._number, machine, request, hold + self._failover.answer_timeout())
+        self._outstanding = PendingRequest(
+            self._number, machine, request, hold + self._failover.answer_timeout()
+        )
         self._earliest_poll_at = now + hold / 2.0  # a machine that can hold no more polls answers at once
         self.wake_at = inf
 
--- a/ryestack/control/subscription.py
+++ b/ryestack/control/subscription.py
@@ -54,7 +54,7 @@
     zone: str
 
 
-class Ask(msgspec.Struct, frozen=True):
+class PendingRequest(msgspec.Struct, frozen=True):
     """Send the request to the machine; timeout: seconds for the whole answer."""
 
     number: int
--- a/ryestack/lab/hollow.py
+++ b/ryestack/lab/hollow.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ..control.client import ControlClient, new_session
-from ..control.holdings import Kept
+from ..control.holdings import HoldingsSnapshot
 from ..control.messages import Entry, Rejection
 from ..control.order import Machine
 from ..control.subscription import Identity
@@ -34,7 +34,7 @@
         self.number, self.place, self.host = number, place, host
         self.client: ControlClient | None = None
         self.following: asyncio.Task | None = None
-        self.kept: Kept | None = None
+        self.kept: HoldingsSnapshot | None = None
 
     def start(self) -> None:
         if self.client is not None:
@@ -47,7 +47,7 @@
         chance = random.Random(f"{host.about.seed} {place.name} {identity.session}")
         self.client = ControlClient(
             identity, host.machines(place.group), self.apply, self.check, hold=host.about.hold,
-            clock=time.monotonic, chance=chance, session=host.session, kept=self.kept,
+            clock=time.monotonic, rng=chance, session=host.session, snapshot=self.kept,
         )  # fmt: skip
         self.following = asyncio.ensure_future(self.client.run())
 
@@ -56,7 +56,7 @@
         if self.client is None:
             return
         client, self.client = self.client, None
-        self.kept = client.subscriber.holdings.kept() if keep else None
+        self.kept = client.subscriber.holdings.snapshot() if keep else None
         self.following.cancel()
         await asyncio.gather(self.following, return_exceptions=True)
         self.host.note(self.number, Kind.STOPPED, 0)
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -52,9 +52,9 @@
             self._check,
             hold=control.hold,
             clock=owner.clock,
-            chance=random.Random(f"{seed}:{self.relay}:{self.session}"),
-            kept=self.saved.kept if self.saved else None,
-            trouble=self._trouble,
+            rng=random.Random(f"{seed}:{self.relay}:{self.session}"),
+            snapshot=self.saved.kept if self.saved else None,
+            on_failure=self._trouble,
         )
         self._following: asyncio.Future | None = None
         self._updates: list[it.ListUpdate] = []  # until the owner runs
@@ -185,7 +185,7 @@
         leaving = [entry for _, entry in self.members.leaving.values()]
         head = scope_file.FORMAT, self.control.cluster, self.relay, self.session
         confirmed_at = now - age if age < inf else 0.0
-        saved = SavedScope(*head, confirmed_at, self.client.subscriber.holdings.kept(), leaving)
+        saved = SavedScope(*head, confirmed_at, self.client.subscriber.holdings.snapshot(), leaving)
         there = scope_file.load(self.folder, self.control.cluster, self.relay)
         if there is not None and there.session > self.session:
             return  # of the process after this one
--- a/ryestack/store/scope_file.py
+++ b/ryestack/store/scope_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..control.holdings import Kept
+from ..control.holdings import HoldingsSnapshot
 from ..control.messages import Entry
 
 NAME = "scope"
@@ -30,7 +30,7 @@
     relay: str
     session: int
     confirmed_at: float
-    kept: Kept
+    kept: HoldingsSnapshot
     leaving: list[Entry]
 
 
--- a/tests/control_net.py
+++ b/tests/control_net.py
@@ -13,7 +13,7 @@
 from ryestack.control.order import Machine
 from ryestack.control.publisher import Publisher, Refused
 from ryestack.control.subscriber import Subscriber
-from ryestack.control.subscription import Ask, Identity
+from ryestack.control.subscription import Identity, PendingRequest
 
 SHARDS_PER_REGION, REGIONS, HOLD = 3, ("eu", "us"), 5.0
 BAD = b'"bad"'  # a value that a relay rejects
@@ -142,7 +142,7 @@
             number, relay.timeout = relay.timeout[1], None
             relay.subscriber.failed(number, self.now)
         step = relay.subscriber.step(self.now)
-        if isinstance(step, Ask):
+        if isinstance(step, PendingRequest):
             self.judge_request(name, relay, step.request)
             relay.timeout = (self.now + step.timeout, step.number)
             wait = (name, relay.subscriber, step.number)
@@ -165,7 +165,7 @@
         relay.subscriber.commit(self.now)
         self.judge_holdings(name, relay)
         if self.rng.random() < 0.7:  # a kill may come before it is kept
-            self.kept[name] = relay.subscriber.holdings.kept()
+            self.kept[name] = relay.subscriber.holdings.snapshot()
 
     def send(self, what, *arguments):
         if self.rng.random() < self.loss:
@@ -182,7 +182,7 @@
         token = (machine, self.sequence)
         self.waits[token] = wait
         try:
-            answer = self.publishers[machine].hear(messages.decode_request(body), self.now, token)
+            answer = self.publishers[machine].handle(messages.decode_request(body), self.now, token)
         except Refused:
             del self.waits[token]
             return
@@ -198,7 +198,7 @@
         name, subscriber, number = wait
         relay = self.relays[name]
         if relay.subscriber is subscriber:
-            subscriber.heard(number, messages.decode_answer(body), self.now)
+            subscriber.handle_answer(number, messages.decode_answer(body), self.now)
             if relay.timeout and relay.timeout[1] == number:
                 relay.timeout = None
 
--- a/tests/control_server.py
+++ b/tests/control_server.py
@@ -43,7 +43,7 @@
         token = self.token
         try:
             asked = messages.decode_request(await request.read())
-            answer = self.publisher.hear(asked, self.clock(), token)
+            answer = self.publisher.handle(asked, self.clock(), token)
         except messages.BadMessage:
             return web.Response(status=400)
         except Refused as why:
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -26,8 +26,8 @@
         self.held, self.versions, self.trouble = {}, [], []
         self.client = ControlClient(
             Identity(cluster, name, 1, "eu", "a"), machines, self.apply, self.check, hold=hold,
-            clock=asyncio.get_running_loop().time, chance=random.Random(name), session=session,
-            trouble=self.trouble.append,
+            clock=asyncio.get_running_loop().time, rng=random.Random(name), session=session,
+            on_failure=self.trouble.append,
         )  # fmt: skip
         self.task = asyncio.ensure_future(self.client.run())
 
--- a/tests/test_control_gathering.py
+++ b/tests/test_control_gathering.py
@@ -54,7 +54,7 @@
     def ask(self, request):
         self.tokens += 1
         self.now += 1.0
-        answer = self.publisher.hear(request, self.now, self.tokens)
+        answer = self.publisher.handle(request, self.now, self.tokens)
         if answer is None:  # held: its time is up
             self.now += 100.0
             (answer,) = [answer for token, answer in self.publisher.due(self.now) if token == self.tokens]
--- a/tests/test_control_publisher.py
+++ b/tests/test_control_publisher.py
@@ -45,7 +45,7 @@
 
 def hold_all(made, now=1.0):
     for n in range(RELAYS):
-        assert made.hear(poll(made, f"r{n}"), now, f"r{n}") is None
+        assert made.handle(poll(made, f"r{n}"), now, f"r{n}") is None
 
 
 def test_a_change_wakes_the_relays_that_hold_its_shard_once_and_no_other():
@@ -106,7 +106,7 @@
     gone = made.scopes.relays_of("eu/4")[0]
     before = made.scopes.of(gone).digest
     made.apply(3, [Entry(f"relay/{gone}", 3, "@", None)], 2.0)
-    assert made.hear(poll(made, gone, hold=hold, version=version, scope=before), 2.1, 1) is None
+    assert made.handle(poll(made, gone, hold=hold, version=version, scope=before), 2.1, 1) is None
     made.apply(4, [Entry("destination/4", 4, "eu/4", b"2")], 2.2)
     assert made.due(2.45) == []
     while made.held():
@@ -116,24 +116,24 @@
 
 def test_a_relay_that_is_in_no_set_has_what_all_share():
     made = publisher()
-    assert made.hear(poll(made, "r77", scope=""), 1.0, 1) == Scope(2, ["*"])
+    assert made.handle(poll(made, "r77", scope=""), 1.0, 1) == Scope(2, ["*"])
 
 
 def test_what_is_told_of_a_relay_is_kept_and_an_older_session_refused_while_the_later_lives():
     made = publisher()
     rejected = Rejection(2, "setting/settings", "no")
-    made.hear(poll(made, session=7, applied=1, rejected=rejected), 1.0, 1)
+    made.handle(poll(made, session=7, applied=1, rejected=rejected), 1.0, 1)
     assert (made.reports["r0"].applied, made.reports["r0"].rejected) == (1, rejected)
     with pytest.raises(Refused, match="session 6"):
-        made.hear(poll(made, session=6), 2.0, 2)
+        made.handle(poll(made, session=6), 2.0, 2)
     assert made.reports["r0"].session == 7 and made.reports["r0"].heard_at == 1.0
-    assert made.hear(poll(made, session=6), 32.0, 3) is None
+    assert made.handle(poll(made, session=6), 32.0, 3) is None
 
 
 def test_a_later_poll_of_the_same_relay_ends_the_one_before():
     made = publisher()
-    made.hear(poll(made), 1.0, "first")
-    made.hear(poll(made, session=2), 2.0, "second")
+    made.handle(poll(made), 1.0, "first")
+    made.handle(poll(made, session=2), 2.0, "second")
     assert made.wake_at == -inf
     [(token, answer)] = made.due(2.0)
     assert token == "first" and isinstance(answer, Unavailable)
@@ -142,7 +142,7 @@
 
 def test_a_request_that_is_gone_is_not_answered():
     made = publisher()
-    made.hear(poll(made), 1.0, "first")
+    made.handle(poll(made), 1.0, "first")
     made.release("first")
     assert made.due(60.0) == [] and made.wake_at == inf and made.held() == 0
 
@@ -151,7 +151,7 @@
     made = publisher()
     monkeypatch.setattr(made._relays, "_limit", 5)
     monkeypatch.setattr(publishers, "MAX_REPORTS", 7)
-    answers = [made.hear(poll(made, f"r{n}"), 1.0, n) for n in range(20)]
+    answers = [made.handle(poll(made, f"r{n}"), 1.0, n) for n in range(20)]
     assert answers[:5] == [None] * 5 and all(isinstance(answer, Delta) for answer in answers[5:])
     assert list(made.reports) == [f"r{n}" for n in range(13, 20)]
 
@@ -171,32 +171,32 @@
 def test_what_cannot_be_answered_is_refused_and_leaves_nothing(request_):
     made = publisher()
     with pytest.raises(Refused):
-        made.hear(request_, 1.0, 1)
+        made.handle(request_, 1.0, 1)
     assert not made.reports and not made.held()
 
 
 def test_a_machine_that_is_behind_the_asker_or_not_ready_says_so():
     made = publisher()
-    assert isinstance(made.hear(poll(made, version=3), 1.0, 1), Unavailable)
-    assert isinstance(made.hear(Follow("c", "m1", 3, 1.0), 1.0, 1), Unavailable)
+    assert isinstance(made.handle(poll(made, version=3), 1.0, 1), Unavailable)
+    assert isinstance(made.handle(Follow("c", "m1", 3, 1.0), 1.0, 1), Unavailable)
     made.ready = False
     for asked in (poll(made), Follow("c", "m1", 0, 1.0), Fetch("c", "r0", ["*"])):
-        assert isinstance(made.hear(asked, 1.0, 1), Unavailable)
+        assert isinstance(made.handle(asked, 1.0, 1), Unavailable)
 
 
 def test_who_is_below_the_floor_fetches_and_a_version_too_large_for_a_delta_too():
     made = publisher(max_tombstones=0)
     made.apply(3, [Entry("destination/4", 3, "eu/4", None)], 1.0)
-    assert made.hear(poll(made, version=2), 1.0, 1) == TooOld(3)
+    assert made.handle(poll(made, version=2), 1.0, 1) == TooOld(3)
     made.apply(4, [Entry(f"setting/{n}", 4, "*", b"x" * 60_000) for n in range(10)], 1.0)
-    assert made.hear(poll(made, version=3), 1.0, 1) == TooOld(4)
-    piece = made.hear(Fetch("c", "r0", ["*"]), 1.0, 1)
+    assert made.handle(poll(made, version=3), 1.0, 1) == TooOld(4)
+    piece = made.handle(Fetch("c", "r0", ["*"]), 1.0, 1)
     assert isinstance(piece, Piece) and len(piece.entries) == 1 and not piece.done
 
 
 def test_a_follower_is_told_every_change_at_once():
     made = publisher()
-    assert made.hear(Follow("c", "m1", 2, 5.0), 1.0, "m1") is None
+    assert made.handle(Follow("c", "m1", 2, 5.0), 1.0, "m1") is None
     made.apply(3, [Entry("destination/4", 3, "us/4", b"2"), Entry("relay/r9", 3, "@", None)], 2.0)
     assert 2.0 < made.wake_at < 2.1
     [(token, answer)] = made.due(made.wake_at)
--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ryestack import interface as it
-from ryestack.control.holdings import Kept
+from ryestack.control.holdings import HoldingsSnapshot
 from ryestack.control.messages import Entry
 from ryestack.lab.trial import free_port
 from ryestack.lifecycle.scope.destinations import SETTLE_SECONDS, BadEntry, ScopedMembers, read_destination
@@ -237,7 +237,7 @@
 
 
 def test_a_saved_scope_is_read_whole_or_not_at_all(tmp_path):
-    folder, kept = str(tmp_path), Kept(3, ["*", "eu/3"], [destination(7, "a:1")])
+    folder, kept = str(tmp_path), HoldingsSnapshot(3, ["*", "eu/3"], [destination(7, "a:1")])
     saved = SavedScope(scope_file.FORMAT, "c", "n0", 5, 12.0, kept, [])
     assert scope_file.load(folder, "c", "n0") is None
     assert scope_file.save(folder, saved, 100_000) and scope_file.load(folder, "c", "n0") == saved
--- a/tests/test_control_subscriber.py
+++ b/tests/test_control_subscriber.py
@@ -6,11 +6,11 @@
 import pytest
 
 from ryestack.control import messages
-from ryestack.control.holdings import Kept
+from ryestack.control.holdings import HoldingsSnapshot
 from ryestack.control.messages import Entry
 from ryestack.control.order import Failover, Machine, machine_order
 from ryestack.control.subscriber import Subscriber
-from ryestack.control.subscription import Ask, Identity, State
+from ryestack.control.subscription import Identity, PendingRequest, State
 
 
 def subscriber(kept=None, limit=1000):
@@ -21,7 +21,7 @@
 def asked(subscriber, now):
     """The next request; whatever rests before it is waited for."""
     step = subscriber.step(max(now, subscriber.wake_at))
-    assert isinstance(step, Ask)
+    assert isinstance(step, PendingRequest)
     return step
 
 
@@ -32,23 +32,23 @@
 def test_a_delta_cut_in_two_is_not_finished_by_a_machine_that_lies_behind_the_first():
     """Entry 7, of version 3, changed again at 8: the first machine tells it with the rest, the second, at 5,
     never. What it is asked from 4 on would leave entry 7 at version 2."""
-    s = subscriber(Kept(2, ["*", "eu/1"], [entry(7, 2), entry(8, 2)]))
-    s.heard(asked(s, 1.0).number, messages.Delta(2, 4, [entry(8, 4, b"4")], 8, more=True), 1.0)
+    s = subscriber(HoldingsSnapshot(2, ["*", "eu/1"], [entry(7, 2), entry(8, 2)]))
+    s.handle_answer(asked(s, 1.0).number, messages.Delta(2, 4, [entry(8, 4, b"4")], 8, more=True), 1.0)
     assert asked(s, 1.0).request.version == 4
-    s.heard(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
+    s.handle_answer(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
     assert s.state is State.WAITING and s.holdings.version == 2
-    s.heard(asked(s, 9.0).number, messages.Delta(5, 8, [entry(7, 8, b"8")], 8), 9.0)
+    s.handle_answer(asked(s, 9.0).number, messages.Delta(5, 8, [entry(7, 8, b"8")], 8), 9.0)
     update = s.step(9.0)
     assert (update.version, [e.version for e in update.entries], update.removed) == (8, [4, 8], [])
 
 
 def test_what_is_fetched_anew_from_a_machine_that_lies_behind_is_not_applied():
-    s = subscriber(Kept(6, ["*"], [entry(7, 6, b"6", "*")]))
-    s.heard(asked(s, 1.0).number, messages.TooOld(6), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Piece("*", 4, [entry(7, 3, b"3", "*")], True), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Delta(4, 5, [], 5), 1.0)
+    s = subscriber(HoldingsSnapshot(6, ["*"], [entry(7, 6, b"6", "*")]))
+    s.handle_answer(asked(s, 1.0).number, messages.TooOld(6), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Piece("*", 4, [entry(7, 3, b"3", "*")], True), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Delta(4, 5, [], 5), 1.0)
     assert s.state is State.WAITING and s.holdings.by_key["destination/7"].version == 6
-    s.heard(asked(s, 9.0).number, messages.Delta(5, 7, [entry(7, 6, b"6", "*")], 7), 9.0)
+    s.handle_answer(asked(s, 9.0).number, messages.Delta(5, 7, [entry(7, 6, b"6", "*")], 7), 9.0)
     assert (s.step(9.0).entries, s.step(9.0).removed) == ([], [])
 
 
@@ -65,15 +65,15 @@
     ],
 )
 def test_an_answer_that_does_not_go_with_the_request_changes_nothing(answer):
-    s = subscriber(Kept(2, ["*", "eu/1"], [entry(7, 2)]))
-    s.heard(asked(s, 1.0).number, answer, 1.0)
+    s = subscriber(HoldingsSnapshot(2, ["*", "eu/1"], [entry(7, 2)]))
+    s.handle_answer(asked(s, 1.0).number, answer, 1.0)
     assert s.state is State.WAITING and s.wake_at > 1.0 and not s._staging.differs()
     assert asked(s, 9.0).request.version == 2
 
 
 def test_a_scope_past_the_bound_is_refused_with_its_key_and_what_is_held_stays():
-    s = subscriber(Kept(2, ["*", "eu/1"], [entry(7, 2)]), limit=1000)
-    s.heard(asked(s, 1.0).number, messages.Delta(2, 3, [entry(9, 3, b"x" * 2000)], 3), 1.0)
+    s = subscriber(HoldingsSnapshot(2, ["*", "eu/1"], [entry(7, 2)]), limit=1000)
+    s.handle_answer(asked(s, 1.0).number, messages.Delta(2, 3, [entry(9, 3, b"x" * 2000)], 3), 1.0)
     assert s.rejected.key == "destination/9" and "1000 bytes" in s.rejected.reason
     assert s.holdings.version == 2 and s.wake_at > 20.0 and s._staging.bytes == 0
     assert asked(s, 1.0).request.rejected == s.rejected
@@ -113,33 +113,33 @@
 
 def test_a_first_scope_is_in_force_with_its_last_piece_and_asks_for_no_further_answer():
     s = subscriber()
-    s.heard(asked(s, 1.0).number, messages.Scope(4, ["*", "eu/1"]), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Piece("*", 4, [entry(1, 2, shard="*")], False), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Piece("eu/1", 4, [entry(2, 3)], True), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Scope(4, ["*", "eu/1"]), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Piece("*", 4, [entry(1, 2, shard="*")], False), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Piece("eu/1", 4, [entry(2, 3)], True), 1.0)
     assert [e.version for e in s.step(1.0).entries] == [2, 3] and s.step(1.0).version == 4
 
 
 def test_a_scope_that_only_lost_shards_is_in_force_at_once():
-    s = subscriber(Kept(2, ["*", "eu/1"], [entry(7, 2)]))
-    s.heard(asked(s, 1.0).number, messages.Scope(4, ["*"]), 1.0)
+    s = subscriber(HoldingsSnapshot(2, ["*", "eu/1"], [entry(7, 2)]))
+    s.handle_answer(asked(s, 1.0).number, messages.Scope(4, ["*"]), 1.0)
     assert (s.step(1.0).version, s.step(1.0).removed) == (2, ["destination/7"])
 
 
 def test_what_is_not_in_force_yet_is_asked_for_without_a_wait_unless_it_is_rejected():
     s = subscriber()
-    s.heard(asked(s, 1.0).number, messages.Scope(4, ["*", "eu/1"]), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Piece("*", 5, [], True), 1.0)
-    s.heard(asked(s, 1.0).number, messages.Piece("eu/1", 4, [entry(2, 3)], True), 1.0)  # two versions
+    s.handle_answer(asked(s, 1.0).number, messages.Scope(4, ["*", "eu/1"]), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Piece("*", 5, [], True), 1.0)
+    s.handle_answer(asked(s, 1.0).number, messages.Piece("eu/1", 4, [entry(2, 3)], True), 1.0)  # two versions
     request = asked(s, 1.0).request
     assert (request.version, request.hold, request.applied) == (4, 0.0, 0)
-    s.heard(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
+    s.handle_answer(s._outstanding.number, messages.Delta(4, 5, [], 5), 1.0)
     s.reject("destination/2", "no", 1.0)
     request = asked(s, 1.0).request
     assert (request.version, request.applied, request.rejected.version) == (5, 0, 5) and request.hold >= 4.0
-    s.heard(s._outstanding.number, messages.Delta(5, 5, [], 5), 5.0)
+    s.handle_answer(s._outstanding.number, messages.Delta(5, 5, [], 5), 5.0)
     assert s.step(5.0).version == 5
     s.reject("destination/2", "no", 5.0)
-    s.heard(asked(s, 5.0).number, messages.Delta(5, 5, [], 5), 5.0)  # by a machine that can hold no more
+    s.handle_answer(asked(s, 5.0).number, messages.Delta(5, 5, [], 5), 5.0)  # it holds no more polls
     s.reject("destination/2", "no", 5.0)
     assert s.wake_at >= 7.0
 
