--- a/ryestack/control/change_log.py
+++ b/ryestack/control/change_log.py
@@ -183,10 +183,10 @@
             await asyncio.sleep(APPLY_INTERVAL_SECONDS)
 
     def _acknowledge(self, entry: LogEntry) -> None:
-        mine, future = self._pending.pop(entry.position, (None, None))
+        proposed, future = self._pending.pop(entry.position, (None, None))
         if future is None or future.done():
             return
-        if mine.term == entry.term:
+        if proposed.term == entry.term:
             future.set_result(None)
         else:
             future.set_exception(Unconfirmed("another leader's change stands in its place"))
--- a/ryestack/control/changes.py
+++ b/ryestack/control/changes.py
@@ -95,7 +95,7 @@
     for index, item in enumerate(requested):
         place = f"changes[{index}] {item.key[:MAX_NAME_LENGTH]!r}"
         if item.key in seen:
-            raise BadChange(f"{place}: the key is there twice")
+            raise BadChange(f"{place}: the key is given twice")
         seen.add(item.key)
         changes.append(_read_change(item, place))
     return changes
@@ -120,10 +120,10 @@
     raw = bytes(requested.value)
     if requested.delete:
         if raw:
-            raise BadChange(f"{place}: has a value and is to be deleted: one of both is allowed")
+            raise BadChange(f'{place}: has both a value and "delete": true')
         return Change(requested.key, None)
     if not raw:
-        raise BadChange(f'{place}: has no value, and no "delete": true')
+        raise BadChange(f'{place}: has no value and no "delete": true')
     try:
         _values[kind].decode(raw)
         value = msgspec.json.format(raw, indent=-1)
@@ -142,7 +142,7 @@
     for kind in (SETTING, RELAY):
         if key.startswith(kind) and re.fullmatch(NAME, key.removeprefix(kind)):
             return kind
-    raise BadChange(f"{place}: is no key, {ALLOWED_KEYS} is allowed")
+    raise BadChange(f"{place}: is not a key; allowed are {ALLOWED_KEYS}")
 
 
 def _shard(change: Change) -> str:
--- a/ryestack/control/consensus.py
+++ b/ryestack/control/consensus.py
@@ -64,7 +64,7 @@
     ):
         self.state = ReplicaState(cluster, name, voters, persisted)
         self.election = Election(self.state, rng, timeout, now)
-        self.follower = LogAcceptor(self.state)
+        self.log_acceptor = LogAcceptor(self.state)
         self.leadership: Leadership | None = None
         self.read_piece, self.timeout = read_piece, timeout
         self.last_tick = now
@@ -90,10 +90,10 @@
                     self._become_leader(now)
             case Append():
                 self.election.observe_leader(message.sender, now)
-                self.follower.accept_append(message)
+                self.log_acceptor.accept_append(message)
             case SnapshotPiece():
                 self.election.observe_leader(message.sender, now)
-                self.follower.accept_piece(message)
+                self.log_acceptor.accept_piece(message)
             case AppendReply():
                 if self.leadership:
                     self.leadership.handle_append_reply(message, now)
--- a/ryestack/control/endpoints.py
+++ b/ryestack/control/endpoints.py
@@ -41,7 +41,7 @@
         try:
             answer = await self._machine.polls.answer(messages.decode_request(body))
         except BadMessage:
-            return _text(400, "no message")
+            return _text(400, "not a valid message")
         except Refused as why:
             return _text(409, str(why))
         return Response(200, messages.encode(answer), MSGPACK)
@@ -51,7 +51,7 @@
         try:
             self._machine.change_log.receive(consensus_messages.decode(body))
         except BadMessage:
-            return _text(400, "no message")
+            return _text(400, "not a valid message")
         except Misdirected as why:
             return _text(409, str(why))
         except DiskBlocked as why:
@@ -77,7 +77,7 @@
         try:
             report = status.decode_report(body)
         except BadMessage:
-            return _text(400, "no message")
+            return _text(400, "not a valid message")
         if not self._machine.is_leader():
             return self._refusal("another machine leads, or none")
         if not self._machine.take_report(report):
--- a/ryestack/control/frames.py
+++ b/ryestack/control/frames.py
@@ -69,7 +69,7 @@
         raise DamagedFrame(offset, "the file ends within a frame's head")
     mark, length, checksum = HEAD.unpack(head)
     if mark != MAGIC or length > MAX_FRAME_BYTES:
-        raise DamagedFrame(offset, "there is no frame")
+        raise DamagedFrame(offset, "no frame found")
     data = file.read(length)
     if len(data) < length:
         raise DamagedFrame(offset, "the file ends within a frame")
--- a/tests/consensus_net.py
+++ b/tests/consensus_net.py
@@ -1,4 +1,4 @@
-"""A cluster of voters in one process: a network and disks that a seed makes fail, and Raft's rules."""
+"""A simulated cluster of voters with seeded network and disk faults, and checks of Raft's invariants."""
 
 import os
 import random
@@ -8,27 +8,27 @@
 from ryestack.control.consensus_messages import LogEntry, decode
 from ryestack.control.consensus_state import Role
 
-from .consensus_voter import Broken, Voter
+from .consensus_voter import Violation, Voter
 
-CALM = dict(tick=12, deliver=60, work=60, propose=6)
-FAULTS = dict(drop=6, duplicate=4, crash=2, start=4, cut=2, heal=3, jump=1, compact=3)
+BASE_WEIGHTS = dict(tick=12, deliver=60, work=60, propose=6)
+FAULT_WEIGHTS = dict(drop=6, duplicate=4, crash=2, start=4, cut=2, heal=3, jump=1, compact=3)
 
 
 class Net:
-    """Voters and what lies between them. Each step is drawn from the seed; rules are looked at after each."""
+    """Voters and their network. Each step is drawn from the seed, and is followed by a check."""
 
     def __init__(self, seed: int, size: int = 0):
         self.random = random.Random(seed)
         self.names = tuple("abcde"[: size or self.random.choice((3, 3, 5))])
         self.append_bytes = self.random.choice((1, 8, 1000))
-        self.now, self.flying, self.cuts = 0.0, [], set()
+        self.now, self.in_flight, self.cuts = 0.0, [], set()
         self.leaders: dict[int, str] = {}
         self.applied: dict[int, list] = {}
         self.acknowledged: list[list] = []
         self.counts, self.proposals = Counter(), 0
         self.voters = {name: Voter(self, name) for name in self.names}
-        self.weights = dict(CALM)
-        for kind, weight in FAULTS.items():  # some schedules lack a kind of fault, others have much of it
+        self.weights = dict(BASE_WEIGHTS)
+        for kind, weight in FAULT_WEIGHTS.items():  # vary the mix of faults per seed
             self.weights[kind] = weight * self.random.choice((0, 0.5, 1, 3))
 
     def run(self, steps: int) -> None:
@@ -66,12 +66,12 @@
             getattr(voter, kind)()
 
     def message(self, kind: str) -> None:
-        if not self.flying:
+        if not self.in_flight:
             return
-        index = self.random.randrange(len(self.flying)) if self.random.random() < 0.5 else 0
-        sender, recipient, body = self.flying[index]
+        index = self.random.randrange(len(self.in_flight)) if self.random.random() < 0.5 else 0
+        sender, recipient, body = self.in_flight[index]
         if kind != "duplicate":
-            del self.flying[index]
+            del self.in_flight[index]
         if kind != "drop":
             self.arrive(sender, recipient, body)
 
@@ -81,12 +81,12 @@
             voter.replica.receive(decode(body)[0], voter.now)
 
     def cut(self) -> None:
-        one = self.random.choice(self.names)
-        others = [name for name in self.names if name != one]
+        first = self.random.choice(self.names)
+        others = [name for name in self.names if name != first]
         if self.random.random() < 0.3:
-            self.cuts.add((one, self.random.choice(others)))
+            self.cuts.add((first, self.random.choice(others)))
             return
-        side = {one, *self.random.sample(others, self.random.randint(0, len(others) // 2))}
+        side = {first, *self.random.sample(others, self.random.randint(0, len(others) // 2))}
         self.cuts |= {(a, b) for a in self.names for b in self.names if (a in side) != (b in side)}
 
     def propose(self, voter: Voter) -> None:
@@ -103,7 +103,7 @@
     def acknowledge(self, entry: LogEntry) -> None:
         copies = sum(voter.disk.has(entry.position, entry.term) for voter in self.voters.values())
         if copies <= len(self.names) // 2:
-            raise Broken(f"{entry.position} is acknowledged with {copies} copies on disk")
+            raise Violation(f"{entry.position} is acknowledged with {copies} copies on disk")
         self.acknowledged.append([entry.position, entry.term, entry.payload.decode()])
 
     def check(self) -> None:
@@ -111,21 +111,21 @@
         for replica in running:
             state = replica.state
             if state.role is Role.LEADER and self.leaders.setdefault(state.term, state.name) != state.name:
-                raise Broken(f"{state.name} and {self.leaders[state.term]} lead in term {state.term}")
+                raise Violation(f"{state.name} and {self.leaders[state.term]} lead in term {state.term}")
             if state.role is Role.LEADER:
                 self.check_complete(state)
-        for index, one in enumerate(running):
+        for index, first in enumerate(running):
             for other in running[index + 1 :]:
-                check_match(one.state.log, other.state.log)
+                check_match(first.state.log, other.state.log)
 
     def check_complete(self, state) -> None:
-        """A leader has every entry that was committed in a term before its own."""
+        """Leader completeness: a leader has every entry committed in an earlier term."""
         for position, term, _ in reversed(self.applied.values()):
             if term < state.term and position > state.log.base and state.log.term_at(position) != term:
-                raise Broken(f"{state.name} leads in term {state.term} and lacks {position} of {term}")
+                raise Violation(f"{state.name} leads in term {state.term} and lacks {position} of {term}")
 
     def settle(self, limit: int = 20000) -> None:
-        """All faults end: in so many steps all have applied the same, with all that was acknowledged."""
+        """Ends all faults; within `limit` steps all voters must have applied every acknowledged entry."""
         self.cuts.clear()
         for voter in self.voters.values():
             voter.offset = 0.0
@@ -136,11 +136,11 @@
             if step % 50 == 0 and self.is_settled():
                 break
         else:
-            raise Broken("no leader that all follow")
+            raise Violation("no leader that all voters follow")
         for voter in self.voters.values():
             for position, term, payload in self.acknowledged:
                 if voter.state[position - 1] != [position, term, payload]:
-                    raise Broken(f"{voter.name} has lost {payload}, acknowledged at {position}")
+                    raise Violation(f"{voter.name} has lost {payload}, acknowledged at {position}")
 
     def is_settled(self) -> bool:
         states = [voter.replica.state for voter in self.voters.values()]
@@ -150,29 +150,29 @@
         return [s.term for s in leaders] == [term] and ends == {leaders[0].log.last_position}
 
 
-def check_match(one, other) -> None:
-    """Logs that hold an entry of the same term at a position are equal up to there."""
-    low = max(one.base, other.base)
+def check_match(first, other) -> None:
+    """Log matching: logs with the same term at a position are equal up to that position."""
+    low = max(first.base, other.base)
     matched = False
-    for position in range(min(one.last_position, other.last_position), low, -1):
-        mine, theirs = one.entries[position - one.base - 1], other.entries[position - other.base - 1]
-        matched = matched or mine.term == theirs.term
-        if matched and mine != theirs:
-            raise Broken(f"two logs differ at {position} and agree behind it")
+    for position in range(min(first.last_position, other.last_position), low, -1):
+        left, right = first.entries[position - first.base - 1], other.entries[position - other.base - 1]
+        matched = matched or left.term == right.term
+        if matched and left != right:
+            raise Violation(f"two logs differ at {position} and match after it")
 
 
 def examples(few: int) -> int:
-    """How many schedules to play: RYESTACK_TEST_SCHEDULES times the few of CI."""
+    """The number of schedules to run: RYESTACK_TEST_SCHEDULES times the number for CI."""
     return few * int(os.environ.get("RYESTACK_TEST_SCHEDULES", "1"))
 
 
-class Calm(Net):
-    """Three voters without faults but those a test makes."""
+class FaultFreeNet(Net):
+    """Three voters with no faults other than those that a test injects."""
 
     def __init__(self, seed: int = 1, size: int = 3):
         super().__init__(seed, size)
 
-    def go(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         until = self.now + seconds
         while self.now < until:
             self.now += 0.05
@@ -180,15 +180,15 @@
                 if voter.replica:
                     voter.replica.tick(voter.now)
             for _ in range(6):
-                self.pass_on()
+                self.deliver_all()
 
-    def pass_on(self) -> None:
+    def deliver_all(self) -> None:
         for voter in self.voters.values():
             if voter.replica:
                 voter.work()
                 voter.work()
-        flying, self.flying = self.flying, []
-        for sender, recipient, body in flying:
+        in_flight, self.in_flight = self.in_flight, []
+        for sender, recipient, body in in_flight:
             self.arrive(sender, recipient, body)
         self.check()
 
--- a/tests/consensus_voter.py
+++ b/tests/consensus_voter.py
@@ -1,4 +1,4 @@
-"""A voter of a test's cluster: its replica, its disk, its clock and the state that it applies."""
+"""A voter of the simulated cluster: its replica, disk, clock and applied state."""
 
 import json
 
@@ -9,12 +9,12 @@
 CLUSTER, TIMEOUT, PIECE = "test", 1.0, 30
 
 
-class Broken(AssertionError):
-    """A rule of Raft does not hold."""
+class Violation(AssertionError):
+    """An invariant of Raft is violated."""
 
 
 class Disk:
-    """What a voter has stored: it outlives crashes. Entries are kept as they are, a snapshot as bytes."""
+    """A voter's simulated disk, which survives crashes. It stores entries as objects, a snapshot as bytes."""
 
     def __init__(self):
         self.term, self.vote = 0, ""
@@ -36,14 +36,14 @@
 
     def install(self, position: int, term: int, data: bytes) -> None:
         self.snapshot = (position, term, data)
-        self.cut(position, term)
+        self.truncate(position, term)
 
-    def cut(self, position: int, term: int) -> None:
+    def truncate(self, position: int, term: int) -> None:
         if position == self.base:
             return
         index = position - self.base - 1
-        kept = 0 <= index < len(self.entries) and self.entries[index].term == term
-        self.entries = self.entries[index + 1 :] if kept else []
+        matches = 0 <= index < len(self.entries) and self.entries[index].term == term
+        self.entries = self.entries[index + 1 :] if matches else []
         self.base, self.base_term = position, term
 
     def persisted(self) -> Persisted:
@@ -90,14 +90,14 @@
         return self.net.now + self.offset
 
     def work(self) -> None:
-        """One of two steps: take what is ready, or finish it. A crash may come between."""
+        """Takes the ready output, or processes it in the next call; a crash may happen in between."""
         if self.pending is None:
             self.pending = self.replica.take() or None
             return
         ready, self.pending = self.pending, None
         for record in ready.records:
             self.disk.store(record)
-        self.net.flying += [(m.sender, m.recipient, encode([m])) for m in ready.messages]
+        self.net.in_flight += [(m.sender, m.recipient, encode([m])) for m in ready.messages]
         if ready.restored:
             self.net.counts["restored"] += 1
             self.state = json.loads(self.disk.snapshot[2])
@@ -107,16 +107,16 @@
 
     def apply(self, entry: LogEntry) -> None:
         if entry.position != len(self.state) + 1:
-            raise Broken(f"{self.name} applies {entry.position} behind {len(self.state)}")
+            raise Violation(f"{self.name} applies {entry.position} after {len(self.state)}")
         row = [entry.position, entry.term, entry.payload.decode()]
         if self.net.applied.setdefault(entry.position, row) != row:
-            raise Broken(f"{self.name} applies {row}, another {self.net.applied[entry.position]}")
+            raise Violation(f"{self.name} applies {row}, another {self.net.applied[entry.position]}")
         self.state.append(row)
         if self.proposed.pop(entry.position, None) == entry.payload:
             self.net.acknowledge(entry)
 
     def crash(self) -> None:
-        """Some of what was to be stored is, in order; nothing of it was said."""
+        """Crashes after storing a random prefix of the pending records; no message is sent."""
         if self.pending:
             records = self.pending.records
             for record in records[: self.net.random.randint(0, len(records))]:
@@ -125,10 +125,10 @@
 
     def compact(self, keep: int) -> None:
         position = self.replica.state.applied
-        settled = self.pending is None and len(self.state) == position  # nothing between core and disk
+        settled = self.pending is None and len(self.state) == position  # no output is pending
         if settled and position > self.disk.snapshot[0] and self.replica.can_compact():
             term = self.state[-1][1]
             self.disk.snapshot = (position, term, json.dumps(self.state).encode())
             self.replica.compact(position, keep)
             log = self.replica.state.log
-            self.disk.cut(log.base, log.base_term)
+            self.disk.truncate(log.base, log.base_term)
--- a/tests/control_machines.py
+++ b/tests/control_machines.py
@@ -1,4 +1,4 @@
-"""Control machines as processes on loopback: their folders and operator files, and questions to them."""
+"""Runs control machines as processes on loopback: their folders, operator files and requests to them."""
 
 import json
 import os
@@ -12,29 +12,29 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-READY_SECONDS = 60.0  # for starts and elections on a busy computer
+READY_SECONDS = 60.0  # for starts and elections on a busy host
 
 
 def free_ports(count: int) -> list[int]:
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [one.getsockname()[1] for one in sockets]
-    for one in sockets:
-        one.close()
+    ports = [item.getsockname()[1] for item in sockets]
+    for item in sockets:
+        item.close()
     return ports
 
 
-def until(holds, seconds: float, what: str = ""):
-    """What holds() gives once it is true; fails after so many seconds."""
+def until(condition, seconds: float, what: str = ""):
+    """The result of condition() once it is true; fails after `seconds`."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        if found := holds():
+        if found := condition():
             return found
         time.sleep(0.05)
     raise AssertionError(f"not within {seconds} s: {what}")
 
 
 class Machines:
-    """Voters v0, v1, ... and followers f0, ...: a folder and a process each."""
+    """Voters v0, v1, ... and followers f0, ..., each with a folder and a process."""
 
     def __init__(self, folder: Path, voters: int = 3, followers: int = 1):
         self.folder = folder
@@ -48,9 +48,9 @@
         folder.mkdir(exist_ok=True)
         lines = ["format = 1", "[control]", f'cluster = "{cluster}"', 'role = "machine"', f'name = "{name}"']
         lines += ["hold = 1.0", "replicas = 2"]
-        for one in self.names:
-            voter = str(one in self.voters).lower()
-            lines += ["[[control.machines]]", f'name = "{one}"', f'address = "127.0.0.1:{self.ports[one]}"']
+        for item in self.names:
+            voter = str(item in self.voters).lower()
+            lines += ["[[control.machines]]", f'name = "{item}"', f'address = "127.0.0.1:{self.ports[item]}"']
             lines += [f"voter = {voter}"]
         path = folder / "operator.toml"
         path.write_text("\n".join(lines) + "\n")
@@ -81,7 +81,7 @@
             process.wait()
 
     def ask(self, name: str, path: str, body: bytes | None = None) -> tuple[int, bytes]:
-        """(status, body); status 0 where it does not answer."""
+        """(status, body); status 0 if there is no answer."""
         request = urllib.request.Request(f"http://127.0.0.1:{self.ports[name]}{path}", body)
         try:
             with urllib.request.urlopen(request, timeout=6) as answer:
@@ -100,18 +100,18 @@
         return self.ask(name, "/control/changes", json.dumps({"changes": changes}).encode())
 
     def leader(self, seconds: float = READY_SECONDS) -> str:
-        """The one that a majority follows."""
+        """The machine that a majority reports as the leader."""
 
         def found():
-            told = [self.status(name) for name in self.voters if name in self.processes]
-            leaders = [one["leader"] for one in told if one]
-            most = max(set(leaders) - {""}, key=leaders.count, default="")
-            return most if leaders.count(most) > len(self.voters) // 2 and most in self.processes else ""
+            statuses = [self.status(name) for name in self.voters if name in self.processes]
+            leaders = [item["leader"] for item in statuses if item]
+            named = max(set(leaders) - {""}, key=leaders.count, default="")
+            return named if leaders.count(named) > len(self.voters) // 2 and named in self.processes else ""
 
         return until(found, seconds, "a leader")
 
-    def take(self, key: str, value: dict, seconds: float = READY_SECONDS) -> int:
-        """Hand a change in until it is answered; returns its version."""
+    def commit_change(self, key: str, value: dict, seconds: float = READY_SECONDS) -> int:
+        """Submits a change until it is accepted; returns its version."""
 
         def answered():
             code, body = self.change(self.leader(), {"key": key, "value": value})
--- a/tests/control_net.py
+++ b/tests/control_net.py
@@ -1,6 +1,8 @@
-"""Relays and control machines in one thread and one chance: messages lost, late, doubled and out of order,
-machines at different versions, restarts of both, changes of entries and of scopes; and an oracle that keeps
-the log itself and judges what each relay has in force at each moment."""
+"""A simulation of relays and control machines in one thread and from one seed.
+
+Messages are lost, delayed, duplicated and reordered; machines have different versions; relays and machines
+restart; entries and scopes change. An oracle keeps the log and checks the entries in force at each relay.
+"""
 
 import heapq
 import json
@@ -17,27 +19,27 @@
 
 SHARDS_PER_REGION, REGIONS, HOLD = 3, ("eu", "us"), 5.0
 BAD = b'"bad"'  # a value that a relay rejects
-QUIET_SECONDS = 40.0
+SETTLE_SECONDS = 40.0
 
 
 @dataclass
 class Relay:
-    """A relay in service: what its decisions were told is `told`, by key; it outlives nothing but `kept`."""
+    """A running relay. in_force: entries applied, by key. After a restart only Net.kept is left of it."""
 
     subscriber: Subscriber
-    told: dict = field(default_factory=dict)
-    seen: dict = field(default_factory=dict)  # key -> highest version that was ever in force in this life
+    in_force: dict = field(default_factory=dict)
+    highest: dict = field(default_factory=dict)  # key -> highest version in force since its start
     version: int = 0
     timeout: tuple | None = None
 
 
 class Net:
-    """broken: what the oracle found, in words. loss, double: shares of messages; late: seconds at most."""
+    """broken: violations found by the oracle. loss, double: shares of messages; late: maximum delay (s)."""
 
     def __init__(self, seed, relays=3, machines=3, loss=0.0, double=0.0, late=0.02, max_tombstones=1000):
         self.rng, self.now, self.broken = random.Random(seed), 0.0, []
         self.loss, self.double, self.late, self.max_tombstones = loss, double, late, max_tombstones
-        self.log: list[list[Entry]] = []  # a version each
+        self.log: list[list[Entry]] = []  # by version
         self.states = [{}]  # after each version: key -> (shard, value)
         self.names = [f"m{number}" for number in range(machines)]
         self.machines = [Machine(name, f"{name}:1", REGIONS[at % 2]) for at, name in enumerate(self.names)]
@@ -45,7 +47,7 @@
         self.heap, self.sequence, self.sessions = [], 0, 0
         self.relays: dict[str, Relay] = {}
         self.kept = {}
-        self.waits = {}  # token -> (relay, its subscriber, number of the request)
+        self.pending = {}  # token -> (relay, its subscriber, number of the request)
         for name in self.names:
             self.start_machine(name)
         for number in range(relays):
@@ -53,10 +55,10 @@
             self.change([(f"relay/{name}", CONTROL_SHARD, place(number))])
             self.start_relay(name, number)
 
-    # -- what happens to it -------------------------------------------------------------------------
+    # -- actions -------------------------------------------------------------------------
 
     def start_machine(self, name):
-        """With the log as far as the machine has it; who it knew and what it held is gone."""
+        """Starts a machine with its part of the log; reports and held polls are lost."""
         self.down.discard(name)
         known = self.publishers[name].catalogue.version if name in self.publishers else 0
         catalogue = Catalogue(self.max_tombstones)
@@ -67,22 +69,22 @@
 
     def stop_machine(self, name):
         self.down.add(name)
-        for token in [token for token in self.waits if token[0] == name]:
-            del self.waits[token]
+        for token in [token for token in self.pending if token[0] == name]:
+            del self.pending[token]
 
     def start_relay(self, name, number):
         self.sessions += 1
         identity = Identity("c", name, self.sessions, REGIONS[number % 2], f"z{number}")
         kept = self.kept.get(name)
-        chance = random.Random(self.rng.random())
-        relay = Relay(Subscriber(identity, self.machines, HOLD, chance, self.now, kept))
+        relay_rng = random.Random(self.rng.random())
+        relay = Relay(Subscriber(identity, self.machines, HOLD, relay_rng, self.now, kept))
         if kept:
-            relay.told = {entry.key: entry for entry in kept.entries}
+            relay.in_force = {entry.key: entry for entry in kept.entries}
             relay.version = kept.version
         self.relays[name] = relay
 
     def change(self, entries):
-        """entries: (key, shard, value); machines learn it in their own time."""
+        """Appends a version with these (key, shard, value); machines apply it at their own pace."""
         version = len(self.log) + 1
         self.log.append([Entry(key, version, shard, value) for key, shard, value in entries])
         state = dict(self.states[-1])
@@ -96,7 +98,7 @@
     def run(self, seconds):
         until = self.now + seconds
         while self.now < until:
-            self.turn()
+            self.advance()
             ahead = [self.now + 0.5, *(item[0] for item in self.heap[:1])]
             ahead += [relay.subscriber.wake_at for relay in self.relays.values()]
             ahead += [self.publishers[name].wake_at for name in self.names if name not in self.down]
@@ -104,19 +106,19 @@
             self.now = max(self.now + 0.001, min(ahead))
 
     def quiet(self):
-        """Nothing is lost any more, all machines are up and have the log: then all must be current."""
+        """Ends all faults and starts all machines, after which all relays must become current."""
         self.loss, self.double, self.late = 0.0, 0.0, 0.02
         self.lag = dict.fromkeys(self.names, 0.0)
         for name in list(self.down):
             self.start_machine(name)
-        self.run(QUIET_SECONDS)
+        self.run(SETTLE_SECONDS)
 
-    # -- one moment ---------------------------------------------------------------------------------
+    # -- one step ---------------------------------------------------------------------------------
 
-    def turn(self):
+    def advance(self):
         for name in self.names:
             if name not in self.down:
-                self.learn(name)
+                self.catch_up(name)
         while self.heap and self.heap[0][0] <= self.now:
             _, _, what, arguments = heapq.heappop(self.heap)
             what(*arguments)
@@ -127,7 +129,7 @@
         for name, relay in self.relays.items():
             self.drive(name, relay)
 
-    def learn(self, name):
+    def catch_up(self, name):
         publisher, ready = self.publishers[name], len(self.log)
         if self.lag[name] and self.rng.random() > 1.0 / (1.0 + self.lag[name]):
             return
@@ -143,28 +145,28 @@
             relay.subscriber.failed(number, self.now)
         step = relay.subscriber.step(self.now)
         if isinstance(step, PendingRequest):
-            self.judge_request(name, relay, step.request)
+            self.check_request(name, relay, step.request)
             relay.timeout = (self.now + step.timeout, step.number)
-            wait = (name, relay.subscriber, step.number)
-            self.send(self.arrive, step.machine.name, messages.encode(step.request), wait)
+            request_key = (name, relay.subscriber, step.number)
+            self.send(self.arrive, step.machine.name, messages.encode(step.request), request_key)
         elif step is not None:
-            self.offer(name, relay, step)
+            self.apply_update(name, relay, step)
 
-    def offer(self, name, relay, update):
+    def apply_update(self, name, relay, update):
         for entry in update.entries:
             if entry.value == BAD:
                 return relay.subscriber.reject(entry.key, "it is bad", self.now)
         for key in update.removed:
-            relay.told.pop(key, None)
+            relay.in_force.pop(key, None)
         for entry in update.entries:
-            if relay.seen.get(entry.key, 0) > entry.version:
-                self.broken.append(f"{name}: {entry.key} at {entry.version} after {relay.seen[entry.key]}")
-            relay.told[entry.key] = entry
-            relay.seen[entry.key] = entry.version
+            if relay.highest.get(entry.key, 0) > entry.version:
+                self.broken.append(f"{name}: {entry.key} at {entry.version} after {relay.highest[entry.key]}")
+            relay.in_force[entry.key] = entry
+            relay.highest[entry.key] = entry.version
         relay.version = update.version
         relay.subscriber.commit(self.now)
-        self.judge_holdings(name, relay)
-        if self.rng.random() < 0.7:  # a kill may come before it is kept
+        self.check_holdings(name, relay)
+        if self.rng.random() < 0.7:  # a kill may happen before it is saved
             self.kept[name] = relay.subscriber.holdings.snapshot()
 
     def send(self, what, *arguments):
@@ -175,27 +177,27 @@
             item = (self.now + self.rng.uniform(0.0, self.late), self.sequence, what, arguments)
             heapq.heappush(self.heap, item)
 
-    def arrive(self, machine, body, wait):
+    def arrive(self, machine, body, request_key):
         if machine in self.down:
             return
         self.sequence += 1
         token = (machine, self.sequence)
-        self.waits[token] = wait
+        self.pending[token] = request_key
         try:
             answer = self.publishers[machine].handle(messages.decode_request(body), self.now, token)
         except Refused:
-            del self.waits[token]
+            del self.pending[token]
             return
         if answer is not None:
             self.answer(token, answer)
 
     def answer(self, token, answer):
-        wait = self.waits.pop(token, None)
-        if wait is not None:
-            self.send(self.deliver, wait, messages.encode(answer))
+        request_key = self.pending.pop(token, None)
+        if request_key is not None:
+            self.send(self.deliver, request_key, messages.encode(answer))
 
-    def deliver(self, wait, body):
-        name, subscriber, number = wait
+    def deliver(self, request_key, body):
+        name, subscriber, number = request_key
         relay = self.relays[name]
         if relay.subscriber is subscriber:
             subscriber.handle_answer(number, messages.decode_answer(body), self.now)
@@ -204,27 +206,27 @@
 
     # -- the oracle -----------------------------------------------------------------------------------
 
-    def judge_request(self, name, relay, request):
+    def check_request(self, name, relay, request):
         if isinstance(request, messages.Poll) and request.applied > 0:
             newest = relay.subscriber.holdings.version
             if request.applied != newest or not self.is_state(relay, request.applied):
                 self.broken.append(f"{name} acknowledges {request.applied}, has {relay.version}")
 
-    def judge_holdings(self, name, relay):
+    def check_holdings(self, name, relay):
         if not self.is_state(relay, relay.version):
-            self.broken.append(f"{name} holds what is no state at {relay.version}")
+            self.broken.append(f"{name} has entries that differ from the state at {relay.version}")
 
     def is_state(self, relay, version):
         shards = relay.subscriber.holdings.shards
-        wanted = {key: told for key, told in self.states[version].items() if told[0] in shards}
-        return wanted == {key: (entry.shard, entry.value) for key, entry in relay.told.items()}
+        wanted = {key: row for key, row in self.states[version].items() if row[0] in shards}
+        return wanted == {key: (entry.shard, entry.value) for key, entry in relay.in_force.items()}
 
-    def judge_current(self):
-        """After a quiet spell: each relay has exactly its scope at the newest version, unless that is bad."""
+    def check_current(self):
+        """After settling, each relay must have its exact scope at the newest version, unless that is bad."""
         scopes = self.publishers[self.names[0]].scopes
         for name, relay in self.relays.items():
             subscriber, shards = relay.subscriber, set(scopes.of(name).shards)
-            within = {key: told for key, told in self.states[-1].items() if told[0] in shards}
+            within = {key: row for key, row in self.states[-1].items() if row[0] in shards}
             if any(value == BAD for _, value in within.values()):
                 if subscriber.rejected is None:
                     self.broken.append(f"{name} rejects nothing")
--- a/tests/control_server.py
+++ b/tests/control_server.py
@@ -1,4 +1,4 @@
-"""A control machine on loopback, of one process and without a log: the publisher behind a socket."""
+"""A control machine for tests: a publisher behind an HTTP server on loopback, without a change log."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
         self.name, self.region, self.port = name, region, port
         self.clock = asyncio.get_running_loop().time
         self.publisher = Publisher("c", Catalogue(), 2, random.Random(1), 4)
-        self.waits, self.token, self.sent = {}, 0, asyncio.Event()
+        self.pending, self.token, self.sent = {}, 0, asyncio.Event()
 
     async def open(self):
         self.server = web.Server(self.handle, access_log=None)
@@ -49,19 +49,19 @@
         except Refused as why:
             return web.Response(status=409, text=str(why))
         if answer is None:
-            self.waits[token] = asyncio.get_running_loop().create_future()
+            self.pending[token] = asyncio.get_running_loop().create_future()
             try:
-                answer = await self.waits[token]
+                answer = await self.pending[token]
             finally:
-                del self.waits[token]
+                del self.pending[token]
                 self.publisher.release(token)
         return web.Response(body=messages.encode(answer))
 
     async def ticks(self):
         while True:
             for token, answer in self.publisher.due(self.clock()):
-                if token in self.waits and not self.waits[token].done():
-                    self.waits[token].set_result(answer)
+                if token in self.pending and not self.pending[token].done():
+                    self.pending[token].set_result(answer)
             await asyncio.sleep(0.02)
 
     async def close(self):
@@ -72,8 +72,8 @@
         await self.server.shutdown(0.1)
 
 
-async def until(holds, seconds=10.0):
-    """Wait until holds() is true."""
+async def until(condition, seconds=10.0):
+    """Waits until condition() is true."""
     async with asyncio.timeout(seconds):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.02)
--- a/tests/test_control_assignment.py
+++ b/tests/test_control_assignment.py
@@ -1,4 +1,4 @@
-"""Assignment: distinct relays, home region first, zones spread, bound kept, no history, few moves."""
+"""Assignment: distinct relays, home region first, spread over zones, load bound, no history, few moves."""
 
 import math
 import unittest
@@ -46,7 +46,7 @@
     return [RelayMember(f"relay-{n}", *places[n % len(places)]) for n in range(count)]
 
 
-def moved_seats(before, after):
+def moved_replicas(before, after):
     pairs = [(set(before.relays_of(shard)), set(after.relays_of(shard))) for shard in all_shards(before)]
     return sum(len(new - old) for old, new in pairs)
 
@@ -66,56 +66,56 @@
 
     @given(members, replica_counts)
     @settings(deadline=None)
-    def test_seats_at_home_spread_over_zones(self, relays, replicas):
-        """Two zones differ by one seat at most, but for a zone all of whose relays have one."""
+    def test_replicas_in_the_home_region_spread_over_zones(self, relays, replicas):
+        """Replica counts of two zones differ by one at most, unless all relays of a zone already have one."""
         assignment = assign(relays, replicas=replicas)
         place = {member.name: (member.region, member.zone) for member in relays}
         for shard, names in everything(assignment).items():
             home = shard.split("/")[0]
             sizes = Counter(zone for region, zone in place.values() if region == home)
-            seats = Counter(place[name][1] for name in names if place[name][0] == home)
-            most = max(seats.values(), default=0)
+            replicas_by_name = Counter(place[name][1] for name in names if place[name][0] == home)
+            most = max(replicas_by_name.values(), default=0)
             for zone, size in sizes.items():
-                self.assertGreaterEqual(seats[zone], min(size, most - 1))
+                self.assertGreaterEqual(replicas_by_name[zone], min(size, most - 1))
 
     @given(members, replica_counts, slacks)
     @settings(deadline=None)
-    def test_no_relay_is_above_its_bound(self, relays, replicas, slack):
+    def test_no_relay_exceeds_its_load_bound(self, relays, replicas, slack):
         assignment = assign(relays, replicas=replicas, slack=slack)
         for region in REGIONS:
             here = [member for member in relays if member.region == region]
             if len(here) < replicas:
                 continue
-            seats = Counter(
+            replicas_by_name = Counter(
                 name for n in range(SHARDS) for name in assignment.relays_of(shard_key(region, n))
             )
             for zone in {member.zone for member in here}:
                 weights = {member.name: member.weight for member in here if member.zone == zone}
-                total = sum(seats[name] for name in weights)
+                total = sum(replicas_by_name[name] for name in weights)
                 shares = fair_shares(total, weights, dict.fromkeys(weights, SHARDS))
                 for name, share in shares.items():
-                    self.assertLessEqual(seats[name], load_bound(share, slack, SHARDS))
+                    self.assertLessEqual(replicas_by_name[name], load_bound(share, slack, SHARDS))
 
     @given(members, st.randoms(use_true_random=False), replica_counts)
     @settings(deadline=None)
-    def test_the_order_of_joining_does_not_count(self, relays, chance, replicas):
+    def test_the_order_of_joining_does_not_matter(self, relays, rng, replicas):
         shuffled = list(relays)
-        chance.shuffle(shuffled)
+        rng.shuffle(shuffled)
         self.assertEqual(
             everything(assign(relays, replicas=replicas)), everything(assign(shuffled, replicas=replicas))
         )
 
     @given(members, members, st.data())
     @settings(deadline=None)
-    def test_a_change_gives_what_building_anew_gives(self, relays, joined, data):
+    def test_a_change_gives_the_same_assignment_as_a_full_computation(self, relays, joined, data):
         left = data.draw(st.lists(st.sampled_from([m.name for m in relays]))) if relays else []
         before = assign(relays)
         kept = {member.name: member for member in relays if member.name not in left}
-        anew = assign((kept | {member.name: member for member in joined}).values())
+        rebuilt = assign((kept | {member.name: member for member in joined}).values())
         changed = before.with_changes(joined, left)
-        self.assertEqual(everything(changed), everything(anew))
-        for name in anew.members:
-            self.assertEqual(changed.shards_of(name), anew.shards_of(name))
+        self.assertEqual(everything(changed), everything(rebuilt))
+        for name in rebuilt.members:
+            self.assertEqual(changed.shards_of(name), rebuilt.shards_of(name))
         self.assertEqual(everything(before), everything(assign(relays)))
 
     @given(members, replica_counts)
@@ -132,43 +132,43 @@
         st.data(),
     )
     @settings(deadline=None)
-    def test_seats_within_the_bound_can_always_be_dealt(self, weights, count, data):
-        """Also where the room left is at relays that a shard has already: an earlier shard swaps with it."""
+    def test_replicas_can_always_be_assigned_within_the_bound(self, weights, count, data):
+        """Even if only relays that a shard already has are free: an earlier shard swaps a relay with it."""
         base = data.draw(st.integers(0, len(weights) - 1))
-        wanted = {number: base + data.draw(st.integers(0, 1)) for number in range(count)}
-        dealt = assign_replicas(weights, wanted, 1e-6, shard_probes(count))
-        total = sum(wanted.values())
+        counts = {number: base + data.draw(st.integers(0, 1)) for number in range(count)}
+        assigned = assign_replicas(weights, counts, 1e-6, shard_probes(count))
+        total = sum(counts.values())
         shares = fair_shares(total, weights, dict.fromkeys(weights, count))
         self.assertAlmostEqual(math.fsum(shares.values()), total)
-        for number, count_wanted in wanted.items():
-            self.assertEqual(len(set(dealt[number])), count_wanted)
-            self.assertEqual(len(dealt[number]), count_wanted)
-        seats = Counter(name for names in dealt.values() for name in names)
+        for number, expected_count in counts.items():
+            self.assertEqual(len(set(assigned[number])), expected_count)
+            self.assertEqual(len(assigned[number]), expected_count)
+        replicas_by_name = Counter(name for names in assigned.values() for name in names)
         for name, share in shares.items():
-            self.assertLessEqual(seats[name], load_bound(share, 1e-6, count))
+            self.assertLessEqual(replicas_by_name[name], load_bound(share, 1e-6, count))
 
 
 class Moves(unittest.TestCase):
-    def test_a_relay_that_leaves_moves_little_and_nothing_of_other_regions(self):
+    def test_a_leaving_relay_moves_few_replicas_and_none_of_other_regions(self):
         relays = fleet(180)
         before = assign(relays, shards_per_region=512)
         moved = owned = 0
         for leaver in relays[:27]:
             after = before.with_changes(left=[leaver.name])
             owned += len(before.shards_of(leaver.name))
-            moved += moved_seats(before, after)
+            moved += moved_replicas(before, after)
             for shard in all_shards(before, [region for region in REGIONS if region != leaver.region]):
                 self.assertIs(before.relays_of(shard), after.relays_of(shard))
         self.assertLessEqual(moved, 1.8 * owned)
 
-    def test_a_zone_that_is_lost_leaves_shards_with_a_relay_in_each_zone_left(self):
+    def test_a_lost_zone_moves_little_more_than_its_own_replicas(self):
         relays = fleet(180)
         before = assign(relays, shards_per_region=512)
         lost = [member.name for member in relays if member.zone == "eu-1a"]
         after = before.with_changes(left=lost)
         owned = sum(len(before.shards_of(name)) for name in lost)
         self.assertEqual(owned, 512)
-        self.assertLessEqual(moved_seats(before, after), 1.15 * owned)
+        self.assertLessEqual(moved_replicas(before, after), 1.15 * owned)
 
     def test_a_region_without_relays_is_served_from_all_others(self):
         before = assign(fleet(180), shards_per_region=512)
@@ -182,14 +182,14 @@
         for shard in all_shards(before, ["ap-1", "us-1"]):
             self.assertEqual(before.relays_of(shard), after.relays_of(shard))
 
-    def test_capacities_step_one_relay_after_another(self):
-        """Else one relay more or less changes the capacity of all, and moves seats of all, at some sizes."""
+    def test_capacities_change_for_one_relay_after_another(self):
+        """Otherwise, at some sizes, one more relay changes all capacities and moves replicas of all."""
         raised = [
             sum(capacity(f"relay-{n}", share, 0.1, 100) == 7 for n in range(400)) for share in (5.5, 5.8)
         ]
         self.assertTrue(0 < raised[0] < raised[1] < 400, raised)
 
-    def test_a_larger_zone_takes_more_of_the_seats_left(self):
+    def test_a_larger_zone_gets_more_of_the_extra_replicas(self):
         sizes = {"a": 40, "b": 20}
         relays = [RelayMember(f"{z}-{n}", "eu-1", z) for z, size in sizes.items() for n in range(size)]
         assignment = Assignment(relays, replicas=3, shards_per_region=1024)
@@ -198,10 +198,10 @@
 
 
 class Keys(unittest.TestCase):
-    def test_the_probes_of_a_shard_stay_when_there_are_more_shards(self):
+    def test_the_probes_of_a_shard_do_not_depend_on_the_number_of_shards(self):
         self.assertEqual(shard_probes(10), shard_probes(30)[:10])
 
-    def test_a_destinations_shard_is_the_same_in_each_release(self):
+    def test_the_shard_of_a_destination_is_the_same_in_every_release(self):
         self.assertEqual(shard_of("eu-1", "destination-1", 4096), "eu-1/2771")
 
     def test_an_unknown_shard_is_refused(self):
--- a/tests/test_control_change_log.py
+++ b/tests/test_control_change_log.py
@@ -1,4 +1,4 @@
-"""A voter in the process of the test: a full or lost disk, changes that share an fsync."""
+"""A voter in the test process: a full disk, a failed fsync, changes that share an fsync."""
 
 import asyncio
 import errno
@@ -30,7 +30,7 @@
 
 
 async def running(machine: ControlMachine, work) -> None:
-    """Run the machine until work(machine) is done. Raises what ended either."""
+    """Runs the machine until work(machine) returns. Raises errors of both."""
     machine.bind()
     stop = asyncio.Event()
     task = asyncio.ensure_future(machine.run(stop))
@@ -47,20 +47,20 @@
 
 
 def keys_in(folder) -> set[str]:
-    """What a machine that is started on the folder has once it leads."""
+    """The keys that a machine started on the folder has once it is the leader."""
     found = set()
 
-    async def look(machine):
+    async def read_keys(machine):
         found.update(entry.key for entry in machine._publisher.catalogue.live("*"))
 
-    async def play():
-        await running(lone_voter(folder), look)
+    async def scenario():
+        await running(lone_voter(folder), read_keys)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     return found
 
 
-def test_a_full_disk_refuses_changes_loses_none_and_goes_on(tmp_path, monkeypatch):
+def test_a_full_disk_refuses_changes_loses_none_and_recovers(tmp_path, monkeypatch):
     async def fill(machine):
         await propose(machine, "setting/before")
         write = os.pwrite
@@ -79,32 +79,32 @@
             await asyncio.sleep(0.02)
         await propose(machine, "setting/after")
 
-    async def play():
+    async def scenario():
         await running(lone_voter(tmp_path), fill)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert keys_in(tmp_path) == {"setting/before", "setting/meanwhile", "setting/after"}
 
 
-def test_a_disk_that_does_not_sync_ends_the_machine_and_nothing_is_acknowledged(tmp_path, monkeypatch):
+def test_a_failed_fsync_ends_the_machine_and_acknowledges_nothing(tmp_path, monkeypatch):
     async def lose(machine):
         def fsync(descriptor):
             raise OSError(errno.EIO, "Input/output error")
 
         monkeypatch.setattr(os, "fsync", fsync)
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(Unconfirmed, match="the machine ends"):
             await propose(machine, "setting/lost")
-        assert time.monotonic() - began < 3.0
+        assert time.monotonic() - started_at < 3.0
 
-    async def play():
+    async def scenario():
         await running(lone_voter(tmp_path), lose)
 
     with pytest.raises(OSError, match="Input/output"):
-        asyncio.run(play())
+        asyncio.run(scenario())
 
 
-def test_changes_that_come_together_share_an_fsync(tmp_path, monkeypatch):
+def test_concurrent_changes_share_an_fsync(tmp_path, monkeypatch):
     syncs = []
     fsync = os.fsync
     monkeypatch.setattr(os, "fsync", lambda descriptor: (syncs.append(descriptor), fsync(descriptor)))
@@ -114,13 +114,13 @@
         versions = await asyncio.gather(*(propose(machine, f"setting/s{n}") for n in range(50)))
         assert len(set(versions)) == 50 and len(syncs) - before <= 3
 
-    async def play():
+    async def scenario():
         await running(lone_voter(tmp_path), many)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_an_assignment_that_takes_long_holds_up_no_change(tmp_path, monkeypatch):
+def test_a_slow_assignment_does_not_delay_changes(tmp_path, monkeypatch):
     refresh, taken = Scopes.refresh, []
 
     def slow(self, now):
@@ -135,26 +135,26 @@
         await machine.change_log.propose(encode([Change("relay/r", b'{"region":"eu","zone":"z"}')]))
         while not taken:
             await asyncio.sleep(0.02)
-        began = time.monotonic()
+        started_at = time.monotonic()
         version = await propose(machine, "setting/meanwhile")
         poll = Poll("c", "r", 1, "eu", "z", 0, "", 0.0)
-        gone = asyncio.ensure_future(machine.polls.answer(poll))
+        cancelled_poll = asyncio.ensure_future(machine.polls.answer(poll))
         await asyncio.sleep(0.1)
-        gone.cancel()  # must not let anybody else at the publisher
-        assert time.monotonic() - began < 1.0
+        cancelled_poll.cancel()  # must not release the publisher's lock early
+        assert time.monotonic() - started_at < 1.0
         answer = await machine.polls.answer(poll)
         assert isinstance(answer, Scope) and answer.version <= version and len(answer.shards) == 8193
         assert taken == [True] and machine.is_leader()
 
-    async def play():
+    async def scenario():
         await running(lone_voter(tmp_path), change)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_relay_without_control_loads_none_of_it():
+def test_a_relay_without_control_imports_no_control_module():
     code = "import sys, ryestack.lifecycle.service; print([m for m in sys.modules if '.control' in m])"
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     )
-    assert told.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
--- a/tests/test_control_client.py
+++ b/tests/test_control_client.py
@@ -1,4 +1,4 @@
-"""A relay's connection to the control machines: what is no answer changes nothing and leads to the next."""
+"""A relay's control client: changes, rejections, failover after invalid answers, traffic of idle polls."""
 
 import asyncio
 import json
@@ -16,18 +16,18 @@
 from .helpers import stand_in
 
 PLACE = json.dumps({"region": "eu", "zone": "a"}).encode()
-IDLE_POLL_BYTES = 700  # request and answer, with heads; 2 KB a second is what a relay may use
+IDLE_POLL_BYTES = 700  # request and answer with headers; a relay may use 2 KB per second
 
 
 class Follower:
-    """A client and what its relay was told."""
+    """A client, and the entries and failures that its callbacks received."""
 
     def __init__(self, machines, name="r0", session=None, hold=1.0, cluster="c"):
-        self.held, self.versions, self.trouble = {}, [], []
+        self.held, self.versions, self.reported_failures = {}, [], []
         self.client = ControlClient(
             Identity(cluster, name, 1, "eu", "a"), machines, self.apply, self.check, hold=hold,
             clock=asyncio.get_running_loop().time, rng=random.Random(name), session=session,
-            on_failure=self.trouble.append,
+            on_failure=self.reported_failures.append,
         )  # fmt: skip
         self.task = asyncio.ensure_future(self.client.run())
 
@@ -47,8 +47,8 @@
         await self.client.close()
 
 
-def test_many_clients_over_one_session_follow_what_changes():
-    async def story():
+def test_many_clients_sharing_a_session_receive_changes():
+    async def scenario():
         server, session = await ControlServer().open(), new_session()
         server.change(*((f"relay/r{n}", "@", PLACE) for n in range(3)))
         followers = [Follower([server.machine], f"r{n}", session) for n in range(3)]
@@ -66,11 +66,11 @@
         await session.close()
         await server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_bad_value_is_rejected_by_its_key_and_a_later_one_mends_it():
-    async def story():
+def test_a_bad_value_is_rejected_by_key_and_a_later_value_repairs_it():
+    async def scenario():
         server = await ControlServer().open()
         server.change(("setting/settings", "*", b"1"))
         follower = Follower([server.machine])
@@ -86,10 +86,10 @@
         await follower.close()
         await server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-SENSELESS = {
+INVALID_ANSWERS = {
     "no message": lambda: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
     "a status": lambda: b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
     "no http": lambda: b"\x00\x01\x02\r\n\r\n",
@@ -107,67 +107,67 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-@pytest.mark.parametrize("kind", SENSELESS)
-def test_what_is_no_answer_leads_to_the_next_machine_and_changes_nothing(kind):
-    async def story():
+@pytest.mark.parametrize("kind", INVALID_ANSWERS)
+def test_an_invalid_answer_causes_a_failover_and_changes_nothing(kind):
+    async def scenario():
         assert MAX_MESSAGE_BYTES == 1048576
         server = await ControlServer("m1", "us").open()
         version = server.change(("setting/settings", "*", b"1"))
-        other, address = await stand_in(lambda head, body: SENSELESS[kind]())
+        other, address = await stand_in(lambda head, body: INVALID_ANSWERS[kind]())
         follower = Follower([Machine("m0", address, "eu"), server.machine])
         await until(lambda: follower.client.version == version)
         assert follower.held == {"setting/settings": b"1"}
-        assert follower.trouble[0].startswith("m0: ")
+        assert follower.reported_failures[0].startswith("m0: ")
         await follower.close()
         other.close()
         await server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_foreign_cluster_is_refused_and_what_is_held_stays():
-    async def story():
+def test_a_wrong_cluster_is_refused_and_the_holdings_stay():
+    async def scenario():
         server = await ControlServer().open()
         server.change(("setting/settings", "*", b"1"))
         follower = Follower([server.machine], cluster="another")
-        await until(lambda: len(follower.trouble) > 1)
-        assert "409" in follower.trouble[0] and not follower.held and not server.publisher.reports
+        await until(lambda: len(follower.reported_failures) > 1)
+        assert "409" in follower.reported_failures[0] and not follower.held and not server.publisher.reports
         await follower.close()
         await server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_machine_that_goes_and_one_that_takes_its_place():
-    async def story():
+def test_failover_from_a_closed_machine_and_to_a_restarted_one():
+    async def scenario():
         servers = [await ControlServer(f"m{n}").open() for n in range(2)]
         for server in servers:
             server.change(("setting/settings", "*", b"1"))
         follower = Follower([server.machine for server in servers])
         await until(lambda: follower.held)
         lost = next(s for s in servers if s.machine == follower.client.subscriber.machine)
-        left = next(s for s in servers if s is not lost)
+        remaining = next(s for s in servers if s is not lost)
         await lost.close()
-        version = left.change(("setting/settings", "*", b"2"))
+        version = remaining.change(("setting/settings", "*", b"2"))
         await until(lambda: follower.client.version == version)
-        await left.close()
+        await remaining.close()
         await until(lambda: follower.client.age() > 1.5)
         assert follower.held == {"setting/settings": b"2"}
-        back = ControlServer(left.name, port=left.port)
-        back.publisher = left.publisher
+        back = ControlServer(remaining.name, port=remaining.port)
+        back.publisher = remaining.publisher
         await back.open()
         version = back.change(("setting/settings", "*", b"3"))
         await until(lambda: follower.client.version == version)
         await follower.close()
         await back.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_an_idle_poll_is_small():
-    """On the wire, both ways, with the heads; a relay polls every four to five seconds."""
+    """Counts bytes in both directions with headers; a relay polls every four to five seconds."""
 
-    async def story():
+    async def scenario():
         server = await ControlServer().open()
         server.change(("relay/r0", "@", PLACE), ("setting/settings", "*", b"1"))
         counted, polls = [0], [0]
@@ -195,4 +195,4 @@
         between.close()
         await server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_control_consensus.py
+++ b/tests/test_control_consensus.py
@@ -1,4 +1,4 @@
-"""The change log's consensus: Raft's rules under any schedule of faults; faults of our own must be found."""
+"""Consensus of the change log: Raft's invariants under random faults; injected bugs must be found."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,16 +8,16 @@
 from ryestack.control.leadership import Leadership
 from ryestack.control.log_acceptance import LogAcceptor
 
-from .consensus_net import Calm, Net, examples
-from .consensus_voter import TIMEOUT, Broken
+from .consensus_net import FaultFreeNet, Net, examples
+from .consensus_voter import TIMEOUT, Violation
 
 STEPS = 1500
-SCHEDULES_TO_FIND = 400  # within so many schedules a fault of our own must be seen
+SCHEDULES_TO_FIND = 400  # number of schedules within which an injected bug must be found
 
 
 @settings(max_examples=examples(60))
 @given(st.integers(0, 2**32))
-def test_raft_holds_under_any_schedule(seed):
+def test_raft_invariants_hold_under_any_schedule(seed):
     net = Net(seed)
     net.run(STEPS)
     net.settle()
@@ -30,8 +30,8 @@
     patch.setattr(ReplicaState, "set_term", set_term)
 
 
-def old_term_committed_by_count(patch):
-    """Two writers: a leader commits what an earlier one left once a majority has it."""
+def old_term_committed_by_replica_count(patch):
+    """A leader commits an entry of an earlier term by counting replicas; it can be overwritten later."""
 
     def advance(self, now):
         matches = sorted([self.persisted_position, *(p.match for p in self.progress.values())], reverse=True)
@@ -57,13 +57,13 @@
 
 
 def first_found(count: int) -> tuple[int, str]:
-    """The first schedule that breaks a rule, and which."""
+    """The seed of the first schedule that violates an invariant, and the violation."""
     for seed in range(count):
         net = Net(seed)
         try:
             net.run(STEPS)
             net.settle()
-        except (Broken, AssertionError) as found:
+        except (Violation, AssertionError) as found:
             return seed, str(found)
     return -1, ""
 
@@ -72,15 +72,15 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_a_fault_of_our_own_is_found(fault, monkeypatch):
+def test_an_injected_bug_is_found(fault, monkeypatch):
     fault(monkeypatch)
     seed, rule = first_found(SCHEDULES_TO_FIND)
     print(f"{fault.__name__}: schedule {seed}: {rule}")
     assert seed >= 0
 
 
-class Schedule(Calm):
-    """Five voters; only `reach` hear each other, and time goes on for one at a time."""
+class Schedule(FaultFreeNet):
+    """Five voters; only those in `reach` are connected, and the clock advances for one at a time."""
 
     def __init__(self):
         super().__init__(size=5)
@@ -90,7 +90,7 @@
 
     def only(self, reach: str) -> None:
         self.cuts = {(a, b) for a in self.names for b in self.names if not (a in reach and b in reach)}
-        self.flying.clear()
+        self.in_flight.clear()
 
     def elect(self, name: str, reach: str):
         self.only(reach)
@@ -101,20 +101,20 @@
             voter.replica.tick(voter.now)
             if voter.replica.state.role is Role.LEADER and voter.replica.state.term > newest:
                 return voter
-            self.pass_on()
+            self.deliver_all()
         raise AssertionError(f"{name} is not elected: {voter.replica.state.role}")
 
 
 def entry_of_an_old_term_on_a_majority() -> None:
-    """Figure 8 of Raft: an entry of term 1 reaches a majority in term 3, and is replaced in term 4."""
+    """Figure 8 of the Raft paper: an entry of term 1 reaches a majority in term 3, is replaced in term 4."""
     net = Schedule()
     first = net.elect("a", "abcde")
     for _ in range(6):
-        net.pass_on()
+        net.deliver_all()
     net.only("ab")
-    net.proposals = 1000  # a payload that leaves no room for another entry in an Append
+    net.proposals = 1000  # a payload so large that an Append has no other entry
     net.propose(first)
-    net.pass_on()
+    net.deliver_all()
     assert net.voters["b"].replica.state.log.last_position == 2
     last = net.elect("e", "cde")
     last.work()
@@ -124,7 +124,7 @@
     first = net.elect("a", "abc")
     for _ in range(10):
         if first.replica.leadership.progress["c"].match < 2:
-            net.pass_on()
+            net.deliver_all()
     assert first.replica.leadership.progress["c"].match == 2
     first.work()
     first.work()
@@ -133,13 +133,13 @@
     last.start()
     net.elect("e", "cde")
     for _ in range(6):
-        net.pass_on()
+        net.deliver_all()
     net.settle()
 
 
-def test_two_writers_are_found(monkeypatch):
-    """Chance did not come by the schedule that shows this in 400: it is played on purpose."""
+def test_a_commit_of_an_old_term_by_count_is_found(monkeypatch):
+    """400 random schedules did not include one that shows this bug, so it is constructed."""
     entry_of_an_old_term_on_a_majority()
-    old_term_committed_by_count(monkeypatch)
-    with pytest.raises(Broken, match="lacks 2 of 1"):
+    old_term_committed_by_replica_count(monkeypatch)
+    with pytest.raises(Violation, match="lacks 2 of 1"):
         entry_of_an_old_term_on_a_majority()
--- a/tests/test_control_distribution.py
+++ b/tests/test_control_distribution.py
@@ -1,4 +1,4 @@
-"""Relays follow their scope over any faults: whole versions, never an older one, at last the newest."""
+"""Relays under random faults: only complete versions, never an older one, finally the newest."""
 
 import random
 from unittest.mock import patch
@@ -33,12 +33,12 @@
 )
 
 
-def play(net, steps):
+def run_steps(net, steps):
     for what, *arguments in steps:
-        DOES[what](net, *arguments)
+        ACTIONS[what](net, *arguments)
         net.run(0.05)
     net.quiet()
-    net.judge_current()
+    net.check_current()
     assert net.broken == []
 
 
@@ -51,7 +51,7 @@
     net.change([(key, f"{where.partition('/')[0]}/{shard}", b"moved")])
 
 
-DOES = {
+ACTIONS = {
     "change": change,
     "move": move,
     "setting": lambda net, value: net.change([(*SETTING, value)]),
@@ -69,16 +69,16 @@
 
 @settings(max_examples=60)
 @given(st.integers(0, 99), st.lists(STEPS, max_size=25), st.sampled_from([0, 2, 1000]))
-def test_whatever_comes_between_each_relay_ends_with_its_scope_at_the_newest_version(seed, steps, tombstones):
-    play(Net(seed, double=0.2, max_tombstones=tombstones), steps)
+def test_under_any_faults_each_relay_converges_to_its_scope_at_the_newest_version(seed, steps, tombstones):
+    run_steps(Net(seed, double=0.2, max_tombstones=tombstones), steps)
 
 
-def chance_steps(seed, count=60):
-    """A long play without hypothesis: the same seed gives the same."""
+def random_steps(seed, count=60):
+    """A long random run that depends only on the seed."""
     rng = random.Random(seed)
     steps, values = [], [None, b"1", b"2" * 400]
     for _ in range(count):
-        what = rng.choice(list(DOES) + ["change", "change", "run", "move"])
+        what = rng.choice(list(ACTIONS) + ["change", "change", "run", "move"])
         arguments = {
             "change": lambda: ([(rng.randrange(10), rng.choice(values)) for _ in range(3)],),
             "move": lambda: (rng.randrange(10), rng.randrange(SHARDS_PER_REGION)),
@@ -92,8 +92,8 @@
     return steps
 
 
-def apart_steps(seed, count=30):
-    """Machines at different versions, and answers lost: what one machine began another goes on with."""
+def diverging_machine_steps(seed, count=30):
+    """Machines at different versions and lost answers, so that one continues what another began."""
     rng, values = random.Random(seed), [None, b"1" * 50, b"2" * 50]
     steps = [("loss", 0.3), ("lag", 1, 200.0), ("lag", 2, 200.0)]
     for _ in range(count):
@@ -104,45 +104,45 @@
     return steps
 
 
-def test_long_plays_of_chance_break_nothing():
+def test_long_random_runs_break_no_invariant():
     for seed in range(100):
-        for batch, steps in ((500, chance_steps(seed)), (100, apart_steps(seed))):
-            with patch.object(publisher, "MAX_BATCH_BYTES", batch):  # deltas and pieces come in several
-                play(Net(seed, double=0.2, max_tombstones=[0, 2, 1000][seed % 3]), steps)
+        for batch, steps in ((500, random_steps(seed)), (100, diverging_machine_steps(seed))):
+            with patch.object(publisher, "MAX_BATCH_BYTES", batch):  # so that deltas and pieces are split
+                run_steps(Net(seed, double=0.2, max_tombstones=[0, 2, 1000][seed % 3]), steps)
 
 
-def whole_but_for_need(self):
+def complete_ignoring_need(self):
     return not self.missing and self.position is not None
 
 
-def offered_in_part(self, more):
+def partial_version_offered(self, more):
     news = self._staging.differs() and not self._staging.missing
     return Input.CHANGED if news else Input.MORE if more else Input.CURRENT
 
 
-def acknowledging_what_is_staged(self, poll=Subscriber._poll):
+def staged_version_acknowledged(self, poll=Subscriber._poll):
     asked = poll(self)
     return msgspec.structs.replace(asked, applied=asked.version)
 
 
-def on_from_the_newest_piece(self, asked, piece, add_piece=Staging.add_piece):
+def position_of_the_newest_piece(self, asked, piece, add_piece=Staging.add_piece):
     before = self.position
     add_piece(self, asked, piece)
     self.position = piece.version if before is None else max(before, piece.version)
 
 
-def compacting_below_the_same_floor(self):
+def compaction_without_raising_the_floor(self):
     floor = self.floor
     compact(self)
     self.floor = floor
 
 
-def moving_without_a_deletion(self, entry):
+def move_without_a_tombstone(self, entry):
     self._insert(entry)
     return {entry.shard}
 
 
-def returned_shards_taken_as_followed(self, shards, retarget=Staging.retarget):
+def returned_shards_retained(self, shards, retarget=Staging.retarget):
     held = self._holdings.shards & set(shards)
     retarget(self, shards)
     self.retained = set(held)
@@ -151,18 +151,18 @@
 
 compact = Catalogue._compact
 MUTATIONS = {
-    "applied in part": (Subscriber, "_read_delta", offered_in_part),
-    "versions mixed": (Staging, "complete", whole_but_for_need),
-    "acknowledged before applied": (Subscriber, "_poll", acknowledging_what_is_staged),
-    "changes between pieces lost": (Staging, "add_piece", on_from_the_newest_piece),
-    "deletions forgotten": (Catalogue, "_compact", compacting_below_the_same_floor),
-    "a move forgets where it came from": (Catalogue, "_apply_entry", moving_without_a_deletion),
-    "a shard that came back is taken as followed": (Staging, "retarget", returned_shards_taken_as_followed),
-    "what is gone stays": (Staging, "_still_there", lambda self, key, after: True),
+    "partial version applied": (Subscriber, "_read_delta", partial_version_offered),
+    "versions mixed": (Staging, "complete", complete_ignoring_need),
+    "acknowledged before applied": (Subscriber, "_poll", staged_version_acknowledged),
+    "changes between pieces lost": (Staging, "add_piece", position_of_the_newest_piece),
+    "deletions lost": (Catalogue, "_compact", compaction_without_raising_the_floor),
+    "move without a tombstone": (Catalogue, "_apply_entry", move_without_a_tombstone),
+    "returned shard not refetched": (Staging, "retarget", returned_shards_retained),
+    "removed keys stay": (Staging, "_still_there", lambda self, key, after: True),
 }
 
 
 @pytest.mark.parametrize("name", MUTATIONS)
-def test_the_plays_find_each_broken_rule(name):
+def test_the_random_runs_find_each_mutation(name):
     with pytest.raises(AssertionError), patch.object(*MUTATIONS[name]):
-        test_long_plays_of_chance_break_nothing()
+        test_long_random_runs_break_no_invariant()
--- a/tests/test_control_gathering.py
+++ b/tests/test_control_gathering.py
@@ -1,4 +1,4 @@
-"""A control machine without a vote: whatever it is told by whom, it takes whole versions alone."""
+"""A control machine without a vote applies only complete versions, whichever machines answer."""
 
 import random
 
@@ -18,23 +18,23 @@
 
 
 class Log:
-    """Changes by version, and the state at each."""
+    """Changes by version, and the state at each version."""
 
-    def __init__(self, chance: random.Random):
-        self.chance, self.entries, self.states = chance, [[]], [{}]
+    def __init__(self, rng: random.Random):
+        self.rng, self.entries, self.states = rng, [[]], [{}]
 
-    def grow(self) -> None:
+    def add_version(self) -> None:
         version = len(self.entries)
-        keys = self.chance.sample(KEYS, self.chance.randint(0, 3))
-        made = [
-            Entry(key, version, "*", self.chance.choice([None, b'"%d"' % version])) for key in sorted(keys)
+        keys = self.rng.sample(KEYS, self.rng.randint(0, 3))
+        changes = [
+            Entry(key, version, "*", self.rng.choice([None, b'"%d"' % version])) for key in sorted(keys)
         ]
         state = dict(self.states[-1])
-        for entry in made:
+        for entry in changes:
             state.pop(entry.key, None)
             if entry.value is not None:
                 state[entry.key] = entry.value
-        self.entries.append(made)
+        self.entries.append(changes)
         self.states.append(state)
 
 
@@ -55,14 +55,14 @@
         self.tokens += 1
         self.now += 1.0
         answer = self.publisher.handle(request, self.now, self.tokens)
-        if answer is None:  # held: its time is up
+        if answer is None:  # held: wait until it is due
             self.now += 100.0
             (answer,) = [answer for token, answer in self.publisher.due(self.now) if token == self.tokens]
         return answer
 
 
 class Machine:
-    """What gathers, and the catalogue that it makes."""
+    """A machine without a vote and its catalogue."""
 
     def __init__(self, log: Log):
         self.log, self.gathering, self.catalogue = log, Gathering("c", "f", 1.0), Catalogue()
@@ -94,17 +94,17 @@
 
 @settings(max_examples=examples(150))
 @given(st.integers(0, 2**32))
-def test_only_whole_versions_are_taken_from_machines_at_any(seed):
-    chance = random.Random(seed)
-    log = Log(chance)
+def test_only_complete_versions_are_applied_from_machines_at_different_versions(seed):
+    rng = random.Random(seed)
+    log = Log(rng)
     sources, machine = [Source(log) for _ in range(3)], Machine(log)
-    for _ in range(chance.randint(10, 120)):
-        if chance.random() < 0.4:
-            for _ in range(chance.randint(1, 6)):
-                log.grow()
+    for _ in range(rng.randint(10, 120)):
+        if rng.random() < 0.4:
+            for _ in range(rng.randint(1, 6)):
+                log.add_version()
         for source in sources:
-            source.catch_up(chance.choice((0, 0, 1, 3, 20)))
-        machine.ask(chance.choice(sources))
+            source.catch_up(rng.choice((0, 0, 1, 3, 20)))
+        machine.ask(rng.choice(sources))
     sources[0].catch_up(len(log.entries))
     for _ in range(100):
         machine.ask(sources[0])
@@ -112,13 +112,13 @@
 
 
 @pytest.mark.parametrize("answer", [Piece("**", 3, [], True), Delta(5, 9, [], 9), Delta(0, 0, [], 9, True)])
-def test_an_answer_that_does_not_go_with_the_request_is_refused(answer):
+def test_an_answer_that_does_not_match_the_request_is_refused(answer):
     gathering = Gathering("c", "f", 1.0)
     with pytest.raises(BadAnswer):
         gathering.receive(answer)
 
 
-def test_pieces_without_end_are_refused():
+def test_an_empty_piece_that_is_not_the_last_is_refused():
     gathering = Gathering("c", "f", 1.0)
     gathering.receive(TooOld(3))
     with pytest.raises(BadAnswer):
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -1,4 +1,4 @@
-"""Control machines as processes: changes, a lost leader or majority, restarts, bad input, refused starts."""
+"""Control machines as processes: changes, loss of the leader or majority, restarts, invalid input."""
 
 import json
 import signal
@@ -21,7 +21,7 @@
 
 @pytest.fixture(scope="module")
 def machines(tmp_path_factory):
-    """Three voters and a follower that all tests here share; each leaves all of them running, or none."""
+    """Three voters and a follower shared by all tests; each test leaves all of them running, or none."""
     made = Machines(tmp_path_factory.mktemp("machines"))
     made.start()
     yield made
@@ -29,24 +29,24 @@
 
 
 def fetched(machines: Machines, name: str) -> dict[str, int]:
-    """All keys that a machine has, with their versions."""
+    """All keys of a machine, with their versions."""
     body = messages.encode(Fetch("test", "t", [messages.ALL_SHARDS]))
     code, answer = machines.ask(name, "/control", body)
     piece = messages.decode_answer(answer) if code == 200 else None
     return {entry.key: entry.version for entry in piece.entries} if isinstance(piece, Piece) else {}
 
 
-def test_in_force_everywhere_is_told_by_the_leader(machines):
+def test_the_leader_reports_the_version_in_force_on_all_relays(machines):
     leader = machines.leader()
-    machines.take("relay/r1", {"region": "eu", "zone": "eu-1"})
-    machines.take("relay/r2", {"region": "eu", "zone": "eu-1"})
-    version = machines.take("destination/7", DESTINATION)
+    machines.commit_change("relay/r1", {"region": "eu", "zone": "eu-1"})
+    machines.commit_change("relay/r2", {"region": "eu", "zone": "eu-1"})
+    version = machines.commit_change("destination/7", DESTINATION)
     machines.has("f0", version)
     body = messages.encode(Poll("test", "r1", 1, "eu", "eu-1", 0, "", 0.0, applied=version - 1))
     assert machines.ask("f0", "/control", body)[0] == 200
-    told = until(lambda: (found := machines.status(leader))["heard"] and found, 20, "the report")
-    assert told["in_force"] == version - 1 and told["lagging"] == [{"relay": "r1", "applied": version - 1}]
-    assert told["absent"] == ["r2"]
+    data = until(lambda: (found := machines.status(leader))["heard"] and found, 20, "the report")
+    assert data["in_force"] == version - 1 and data["lagging"] == [{"relay": "r1", "applied": version - 1}]
+    assert data["absent"] == ["r2"]
     until(lambda: machines.status(leader)["complete"], 20, "all machines' reports")
     code, body = machines.ask("f0", "/control/destination/7")
     served = json.loads(body)
@@ -54,16 +54,16 @@
     assert machines.ask("f0", "/control/destination/8")[0] == 404
 
 
-def test_changes_reach_all_and_a_lost_leader_loses_none(machines):
+def test_changes_reach_all_machines_and_survive_the_loss_of_the_leader(machines):
     leader = machines.leader()
-    versions = {f"setting/s{n}": machines.take(f"setting/s{n}", {"n": n}) for n in range(5)}
+    versions = {f"setting/s{n}": machines.commit_change(f"setting/s{n}", {"n": n}) for n in range(5)}
     versions |= {key: version for key, version in fetched(machines, leader).items() if key not in versions}
     machines.has("f0", max(versions.values()))
     assert fetched(machines, "f0") == versions
     machines.end(leader, signal.SIGKILL)
-    began = time.monotonic()
-    versions["setting/after"] = machines.take("setting/after", {})
-    print(f"a change is taken {time.monotonic() - began:.2f} s after the leader was killed")
+    started_at = time.monotonic()
+    versions["setting/after"] = machines.commit_change("setting/after", {})
+    print(f"a change is taken {time.monotonic() - started_at:.2f} s after the leader was killed")
     machines.has("f0", versions["setting/after"])
     assert fetched(machines, "f0") == versions
     machines.start(leader)
@@ -79,19 +79,19 @@
     assert "Traceback" not in "".join(machines.log(name) for name in machines.names)
 
 
-def test_without_a_majority_changes_are_refused_and_relays_answered(machines):
+def test_without_a_majority_changes_are_refused_and_polls_answered(machines):
     leader = machines.leader()
-    version = machines.take("setting/one", {})
+    version = machines.commit_change("setting/one", {})
     others = [name for name in machines.voters if name != leader]
     code, body = machines.change(others[0], {"key": "setting/two", "value": {}})
-    told = json.loads(body)
-    assert code == 503 and told["leader"] == leader and told["address"].endswith(str(machines.ports[leader]))
+    data = json.loads(body)
+    assert code == 503 and data["leader"] == leader and data["address"].endswith(str(machines.ports[leader]))
     for name in others:
         machines.end(name, signal.SIGKILL)
     until(lambda: machines.status(leader)["role"] != "leader", 20, "the leader steps down")
-    began = time.monotonic()
+    started_at = time.monotonic()
     code, body = machines.change(leader, {"key": "setting/two", "value": {}})
-    assert code == 503 and "majority" in json.loads(body)["reason"] and time.monotonic() - began < 3.0
+    assert code == 503 and "majority" in json.loads(body)["reason"] and time.monotonic() - started_at < 3.0
     poll = Poll("test", "r9", 1, "eu", "z", 0, messages.scope_digest([messages.SHARED_SHARD]), 0.0)
     code, answer = machines.ask(leader, "/control", messages.encode(poll))
     delta = messages.decode_answer(answer)
@@ -105,7 +105,7 @@
     (b"\xff\x00", "invalid"),
     (b"[" * 100_000, ""),
     (b'{"changes": []}', "length"),
-    (b'{"changes": [{"key": "planet/7", "value": {}}]}', "changes[0] 'planet/7': is no key"),
+    (b'{"changes": [{"key": "planet/7", "value": {}}]}', "changes[0] 'planet/7': is not a key"),
     (b'{"changes": [{"key": "setting/a"}]}', "has no value"),
     (b'{"changes": [{"key": "setting/a", "value": 1}]}', "Expected `object`"),
     (b'{"changes": [{"key": "destination/7", "value": {"region": "eu"}}]}', "`endpoints`"),
@@ -115,7 +115,7 @@
 ]
 
 
-def test_bad_input_is_refused_in_one_line_and_the_rest_served(machines):
+def test_bad_input_is_refused_in_one_line_and_service_continues(machines):
     leader = machines.leader()
     for body, why in BAD_CHANGES:
         code, line = machines.ask(leader, "/control/changes", body)
@@ -132,12 +132,12 @@
     with socket.create_connection(("127.0.0.1", machines.ports[leader])) as raw:
         raw.sendall(b"\x16\x03\x01 no http at all\r\n\r\n")
         assert raw.recv(1000).startswith((b"HTTP/1.0 400", b"HTTP/1.1 400"))
-    assert machines.leader() == leader and machines.take("setting/one", {})
+    assert machines.leader() == leader and machines.commit_change("setting/one", {})
     assert "Traceback" not in machines.log(leader)
 
 
 def refused_start(machines: Machines, name: str, **choices) -> str:
-    """What a machine says that ends at once with status 2: its last line."""
+    """Starts a machine that must exit with status 2; returns its last log line."""
     machines.start(name, **choices)
     assert machines.processes.pop(name).wait(60) == 2
     log = machines.log(name)
@@ -145,7 +145,7 @@
     return log.splitlines()[-1]
 
 
-def test_a_voter_behind_the_compacted_log_gets_a_snapshot_and_keeps_it(machines):
+def test_a_voter_behind_the_compacted_log_receives_and_keeps_a_snapshot(machines):
     leader = machines.leader()
     behind = next(name for name in machines.voters if name != leader)
     machines.end(behind, signal.SIGKILL)
@@ -167,13 +167,13 @@
     machines.has(behind, version)
 
 
-def test_a_start_that_cannot_be_is_refused_in_one_line(machines):
+def test_an_impossible_start_is_refused_in_one_line(machines):
     machines.end("v0")
     path = machines.folder / "v0" / "control.log"
     whole = path.read_bytes()
     assert "is of cluster 'test', this machine of 'other'" in refused_start(machines, "v0", cluster="other")
     path.write_bytes(b"no log at all, but some bytes")
-    assert "control.log: there is no frame at byte 0" in refused_start(machines, "v0")
+    assert "control.log: no frame found at byte 0" in refused_start(machines, "v0")
     path.write_bytes(whole)
     with socket.create_server(("127.0.0.1", machines.ports["v0"])):
         assert f"127.0.0.1:{machines.ports['v0']}: Address already in use" in refused_start(machines, "v0")
--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -1,4 +1,4 @@
-"""A relay that has its destinations and settings from control machines: the program itself on loopback."""
+"""A relay process on loopback that gets its destinations and settings from control machines."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 def destination(number, *addresses, version=1, **more):
-    """The entry of a destination with an endpoint at each address, named by its place."""
+    """The entry of a destination with an endpoint at each address, named by its index."""
     row = {"zone": "z", "type": "shared", "status": "up", "weight": 50.0}
     rows = [{"name": str(at), **row, "address": there, **more} for at, there in enumerate(addresses)]
     value = json.dumps({"region": "eu", "endpoints": rows}).encode()
@@ -49,7 +49,7 @@
 
 class Scoped(Program):
     async def begin(self, *entries, folder_only=False):
-        """A control machine that holds the relay and these entries, and the relay, serving."""
+        """Starts a control machine with the relay and these entries, and the relay."""
         self.server = await ControlServer().open()
         self.addAsyncCleanup(self.server.close)
         self.server.change(("relay/n0", "@", PLACE), *entries)
@@ -75,7 +75,7 @@
             return read(await answer.text())[f"lb_{name}", ()]
 
     async def applied(self, version):
-        """Until the relay has acknowledged it."""
+        """Waits until the relay has acknowledged the version."""
         await until(lambda: self.server.publisher.reports["n0"].applied >= version)
 
     async def hand_in(self, name, dest=7, **more):
@@ -83,7 +83,7 @@
 
 
 class Process(Scoped, unittest.IsolatedAsyncioTestCase):
-    async def test_destinations_come_change_and_go_and_what_is_owed_of_one_that_went_is_delivered(self):
+    async def test_destinations_come_and_go_and_what_is_owed_to_a_removed_one_is_delivered(self):
         calls, answered = [], asyncio.Event()
 
         async def partner(reader, writer):
@@ -99,7 +99,7 @@
         address = f"127.0.0.1:{other.sockets[0].getsockname()[1]}"
         self.addCleanup(other.close)
         await self.begin()
-        self.assertEqual(await self.hand_in("n"), REFUSED)  # another relay may serve it
+        self.assertEqual(await self.hand_in("n"), REFUSED)  # the destination is not in this relay's scope
         await self.applied(self.server.change(change(destination(7, address))))
         self.assertEqual(await self.hand_in("n"), TAKEN)
         await asyncio.sleep(0.3)
@@ -108,7 +108,7 @@
         await asyncio.sleep(SETTLE_SECONDS + 1.5)
         self.assertEqual((await self.figure("known_endpoints"), calls), (1, [b"n"]))
         answered.set()
-        await until(lambda: len(calls) == 2)  # the first came to nothing: it goes there again
+        await until(lambda: len(calls) == 2)  # the first call failed and is repeated
         async with asyncio.timeout(10.0):
             while await self.figure("known_endpoints"):
                 await asyncio.sleep(0.1)
@@ -118,7 +118,7 @@
         await until(lambda: len(calls) == 3)
         self.assertEqual(calls, [b"n", b"n", b"o"])
 
-    async def test_settings_hold_whole_or_not_at_all(self):
+    async def test_settings_are_applied_completely_or_not_at_all(self):
         process = await self.begin(change(destination(7, "127.0.0.1:9")))
         self.assertEqual(await self.hand_in("n", **{"X-Class": "fresh"}), 400)
         settings = json.loads(Path(self.told).read_text())["settings"]
@@ -136,15 +136,15 @@
         self.assertEqual(await self.figure("control_rejected"), 1)
         await self.applied(self.server.change(("setting/settings", "*", json.dumps(fresh).encode())))
         self.assertEqual(await self.hand_in("o", dest=8), TAKEN)
-        process.send_signal(1)  # SIGHUP: the file has other settings, those of the control machines stay
-        await asyncio.sleep(GRACE + 0.3)  # for so long clients may mean the old ones
+        process.send_signal(1)  # SIGHUP: reloads the file; the settings of the control machines stay in force
+        await asyncio.sleep(GRACE + 0.3)  # clients may use the old settings until then
         self.assertEqual(await self.hand_in("p", **{"X-Class": "fresh"}), TAKEN)
         await self.applied(self.server.change(("setting/settings", "*", None)))
-        async with asyncio.timeout(10.0):  # the file's hold again; clients may mean the old ones for a while
+        async with asyncio.timeout(10.0):  # the file's settings are in force again after a grace period
             while await self.hand_in(f"q{time.monotonic()}", **{"X-Class": "fresh"}) == TAKEN:
                 await asyncio.sleep(0.2)
 
-    async def test_a_start_with_no_machine_in_reach_serves_and_says_how_old_that_is(self):
+    async def test_a_start_without_reachable_machines_serves_the_saved_scope_and_reports_its_age(self):
         calls = []
         other, address = await stand_in(lambda head, body: calls.append(head) or http(200))
         self.addCleanup(other.close)
@@ -161,14 +161,14 @@
         self.assertEqual(await self.figure("control_version"), 1)
         await self.stop(process)
         saved = Path(self.folder, scope_file.NAME)
-        saved.write_bytes(saved.read_bytes()[:-9])  # damaged: it is passed over, whole
+        saved.write_bytes(saved.read_bytes()[:-9])  # damaged: it is ignored completely
         await self.go()
         self.assertEqual(await self.hand_in("m"), REFUSED)
         self.assertEqual(await self.figure("control_age_seconds"), float("inf"))
 
 
-def test_without_control_nothing_of_it_is_loaded(tmp_path):
-    """By the program's own way in, up to a relay that is put together."""
+def test_without_control_none_of_its_modules_is_imported(tmp_path):
+    """Starts by the program's own entry point, up to a constructed relay."""
     path = config(str(tmp_path), "127.0.0.1:9")
     script = (
         "import asyncio, sys\n"
@@ -197,7 +197,7 @@
     return {endpoint.id: endpoint.listed for endpoint in update.endpoints}
 
 
-def test_an_endpoint_that_a_destination_no_longer_names_is_told_as_gone():
+def test_an_endpoint_removed_from_its_destination_is_listed_as_gone():
     members = ScopedMembers(Clock())
     members.change([destination(7, "a:1", "b:1")], [], 1)
     update = members.change([destination(7, "c:1")], [], 2)
@@ -205,19 +205,19 @@
     assert members.address("0@7") == "c:1"
 
 
-def test_two_destinations_may_name_an_endpoint_alike():
+def test_two_destinations_may_have_endpoints_of_the_same_name():
     members = ScopedMembers(Clock())
     update = members.change([destination(7, "a:1"), destination(8, "b:1")], [], 1)
     assert {endpoint.id: endpoint.destination for endpoint in update.endpoints} == {"0@7": 7, "0@8": 8}
 
 
-def test_a_destination_that_left_is_let_go_once_nothing_is_owed_and_not_if_it_came_back():
+def test_a_removed_destination_is_dropped_once_nothing_is_owed_and_not_if_it_returned():
     clock = Clock()
     members = ScopedMembers(clock)
     members.change([destination(7, "a:1"), destination(8, "a:1"), destination(9)], [], 1)
     assert not members.change([], ["destination/7", "destination/8", "destination/9"], 2).endpoints
     assert not any(map(members.has, (7, 8, 9))) and members.address("0@7") == "a:1"
-    assert not members.let_go({7}).endpoints  # a hand-in may be on its way to the ledger
+    assert not members.let_go({7}).endpoints  # a notification may be on its way to the ledger
     clock.now = SETTLE_SECONDS
     assert listed(members.let_go({7})) == {"0@8": it.Listed.GONE}
     members.change([destination(7, "b:1")], [], 3)
@@ -231,12 +231,12 @@
      b"[" * 100000, destination(7, "").value, destination(7, "a:1", weight="x").value,
      destination(7, "a:1", "b:1", name="same").value, destination(7, "a:1", weight=1e999).value],
 )  # fmt: skip
-def test_a_destination_that_cannot_be_read_says_why(value):
+def test_an_unreadable_destination_gives_a_reason(value):
     with pytest.raises(BadEntry, match="."):
         read_destination(Entry("destination/7", 1, "eu/3", value))
 
 
-def test_a_saved_scope_is_read_whole_or_not_at_all(tmp_path):
+def test_a_saved_scope_is_read_completely_or_not_at_all(tmp_path):
     folder, kept = str(tmp_path), HoldingsSnapshot(3, ["*", "eu/3"], [destination(7, "a:1")])
     saved = SavedScope(scope_file.FORMAT, "c", "n0", 5, 12.0, kept, [])
     assert scope_file.load(folder, "c", "n0") is None
--- a/tests/test_control_server.py
+++ b/tests/test_control_server.py
@@ -1,4 +1,4 @@
-"""The address of a control machine: bounds on connections and bodies, and askers that are gone."""
+"""The HTTP server of a control machine: limits on connections and bodies, closed connections."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 
 
 class Served:
-    """A server with one path that answers a body's length, or holds it where it is `hold`."""
+    """A server with one path that answers the body's length, or holds the request if the body is `hold`."""
 
     def __init__(self):
         self.port, self.bodies = free_ports(1)[0], []
@@ -34,7 +34,7 @@
         return b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
     async def ask(self, body: bytes):
-        """A connection that has sent a request."""
+        """Opens a connection and sends a request."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(self.request(body))
         return reader, writer
@@ -45,33 +45,33 @@
     return int(line.split()[1]) if line else 0
 
 
-def test_a_request_whose_asker_is_gone_costs_no_work():
-    async def play():
+def test_a_request_on_a_closed_connection_is_not_handled():
+    async def scenario():
         async with Served() as served:
             for _ in range(20):
-                gone = socket.create_connection(("127.0.0.1", served.port))
-                gone.sendall(served.request(b"gone"))
-                gone.close()
-            time.sleep(0.1)  # the loop is busy; all of it is there when it looks
+                closed_connection = socket.create_connection(("127.0.0.1", served.port))
+                closed_connection.sendall(served.request(b"gone"))
+                closed_connection.close()
+            time.sleep(0.1)  # blocks the loop, so that all requests have arrived when it continues
             reader, _ = await served.ask(b"there")
             assert await status(reader) == 200
             assert served.bodies == [b"there"]
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_bodies_above_the_bound_are_refused():
-    async def play():
+def test_bodies_above_the_limit_are_refused():
+    async def scenario():
         async with Served() as served:
             reader, _ = await served.ask(b"x" * 101)
             assert await status(reader) == 413
             assert served.bodies == []
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
 
 
-def test_above_the_bound_idle_connections_make_room_and_busy_ones_stay():
-    async def play():
+def test_at_the_limit_idle_connections_are_closed_and_busy_ones_stay():
+    async def scenario():
         async with Served() as served:
             served.server._max_connections = 3
             held = [await served.ask(b"hold") for _ in range(2)]
@@ -88,4 +88,4 @@
             assert b"refused" not in served.bodies
             assert not any(reader.at_eof() for reader, _ in held)
 
-    asyncio.run(asyncio.wait_for(play(), 20))
+    asyncio.run(asyncio.wait_for(scenario(), 20))
--- a/tests/test_control_storage.py
+++ b/tests/test_control_storage.py
@@ -1,4 +1,4 @@
-"""A voter's disk: what is stored comes back, torn ends are dropped, damage and foreign files are refused."""
+"""A voter's storage: records are read back, torn ends are dropped, damaged and wrong files are refused."""
 
 import errno
 import os
@@ -37,7 +37,7 @@
     storage.close()
 
 
-def test_what_is_stored_comes_back(tmp_path):
+def test_stored_records_are_read_back(tmp_path):
     filled(tmp_path)
     storage, found = opened(tmp_path)
     storage.close()
@@ -45,7 +45,7 @@
     assert found.entries == entries(1, 2) + entries(3, 6, term=2)
 
 
-def test_a_torn_last_frame_is_dropped_wherever_it_was_torn(tmp_path):
+def test_a_torn_last_frame_is_dropped_wherever_it_is_torn(tmp_path):
     filled(tmp_path)
     whole = (tmp_path / "control.log").read_bytes()
     last = whole.rindex(b"\xf1RYE")
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("place", ["head", "middle"])
-def test_damage_before_the_end_is_refused_with_file_and_place(tmp_path, place):
+def test_damage_before_the_end_is_refused_with_file_and_offset(tmp_path, place):
     filled(tmp_path)
     path = tmp_path / "control.log"
     data = bytearray(path.read_bytes())
@@ -93,7 +93,7 @@
 
 
 def compacted(folder) -> Storage:
-    """Entries 1 to 6, a snapshot as of 4, the log from 4 on."""
+    """Entries 1 to 6, with a snapshot at 4 and the log after 4."""
     filled(folder)
     storage, found = opened(folder)
     storage.prepare_snapshot(4, 2, iter([b"one", b"two"]))
@@ -102,7 +102,7 @@
     return storage
 
 
-def test_a_compacted_log_goes_on_behind_its_snapshot(tmp_path):
+def test_a_compacted_log_continues_after_its_snapshot(tmp_path):
     storage = compacted(tmp_path)
     storage.store([NewEntries(entries(7, 7, term=2))])
     storage.close()
@@ -133,7 +133,7 @@
     return [NewPiece(4, 2, at, data[at : at + size], at + size >= len(data)) for at in starts]
 
 
-def test_a_snapshot_that_came_in_pieces_takes_the_place_of_the_log(tmp_path):
+def test_a_snapshot_received_in_pieces_replaces_the_log(tmp_path):
     (tmp_path / "a").mkdir()
     (tmp_path / "b").mkdir()
     source = compacted(tmp_path / "a")
@@ -150,11 +150,11 @@
     source.close()
 
 
-def test_a_snapshot_in_place_whose_log_had_no_time_to_say_so(tmp_path):
+def test_a_snapshot_installed_before_a_crash_restarts_the_log(tmp_path):
     compacted(tmp_path).close()
     (tmp_path / "b").mkdir()
     storage, _ = opened(tmp_path / "b")
-    storage.store([HardState(1, ""), NewEntries(entries(1, 6))])  # 4 is of another term than the snapshot's
+    storage.store([HardState(1, ""), NewEntries(entries(1, 6))])  # 4 has another term in the snapshot
     storage.close()
     shutil.copy(tmp_path / "control.snapshot", tmp_path / "b")
     storage, found = opened(tmp_path / "b")
@@ -162,7 +162,7 @@
     storage.close()
 
 
-def test_a_full_disk_loses_nothing_and_goes_on_once_there_is_room(tmp_path, monkeypatch):
+def test_a_full_disk_loses_nothing_and_recovers_once_there_is_space(tmp_path, monkeypatch):
     filled(tmp_path)
     storage, _ = opened(tmp_path)
     write = os.pwrite
@@ -185,7 +185,7 @@
     storage.close()
 
 
-def test_a_disk_that_does_not_sync_is_an_error(tmp_path, monkeypatch):
+def test_a_failed_fsync_is_an_error(tmp_path, monkeypatch):
     storage, _ = opened(tmp_path)
 
     def fsync(descriptor):
@@ -199,7 +199,7 @@
 
 
 @given(st.integers(0, 10_000), st.integers(0, 255))
-def test_a_byte_that_turned_gives_what_was_stored_before_or_is_refused(tmp_path_factory, index, value):
+def test_a_corrupted_byte_gives_an_earlier_state_or_is_refused(tmp_path_factory, index, value):
     folder = tmp_path_factory.mktemp("log")
     filled(folder)
     path = folder / "control.log"
--- a/tests/test_control_voters.py
+++ b/tests/test_control_voters.py
@@ -1,4 +1,4 @@
-"""What voters of the change log do in single cases: elections, refusals, snapshots, messages of any bytes."""
+"""Voters of the change log in single cases: elections, refusals, snapshots, damaged messages."""
 
 import random
 from contextlib import suppress
@@ -12,124 +12,124 @@
 from ryestack.control.consensus_state import NewEntries, NewPiece
 from ryestack.control.messages import BadMessage
 
-from .consensus_net import Calm, Net
+from .consensus_net import FaultFreeNet, Net
 from .consensus_voter import PIECE, TIMEOUT
 
 STEPS = 1500
 
 
 def test_a_change_is_committed_and_applied_by_all():
-    net = Calm()
-    net.go(4 * TIMEOUT)
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     net.propose(net.leader())
-    net.go(0.1)
+    net.run_for(0.1)
     assert [row[2] for row in net.acknowledged] == ["1"]
     assert all(voter.state[-1][2] == "1" for voter in net.voters.values())
 
 
-def test_a_member_that_comes_and_goes_troubles_no_leader():
-    net = Calm()
-    net.go(4 * TIMEOUT)
+def test_a_voter_that_disconnects_repeatedly_does_not_disrupt_the_leader():
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     leader, term = net.leader(), net.leader().replica.state.term
     other = next(name for name in net.names if name != leader.name)
     for _ in range(5):
         net.isolate(other)
-        net.go(3 * TIMEOUT)
+        net.run_for(3 * TIMEOUT)
         net.cuts.clear()
-        net.go(2 * TIMEOUT)
+        net.run_for(2 * TIMEOUT)
     assert net.leader() is leader and leader.replica.state.term == term
 
 
-def test_a_leader_without_a_majority_refuses_within_a_timeout_and_the_rest_goes_on():
-    net = Calm()
-    net.go(4 * TIMEOUT)
+def test_a_leader_without_a_majority_refuses_within_a_timeout_and_the_others_continue():
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     old = net.leader()
     net.isolate(old.name)
-    net.go(1.1 * TIMEOUT)
+    net.run_for(1.1 * TIMEOUT)
     with pytest.raises(NoQuorum):
         old.replica.propose(b"x", old.now)
-    net.go(4 * TIMEOUT)
+    net.run_for(4 * TIMEOUT)
     new = net.leader()
     assert new is not old
     net.propose(new)
-    net.go(0.2)
+    net.run_for(0.2)
     assert len(net.acknowledged) == 1
     net.cuts.clear()
-    net.go(2 * TIMEOUT)
+    net.run_for(2 * TIMEOUT)
     with pytest.raises(NotLeader, match=new.name):
         old.replica.propose(b"x", old.now)
     assert old.state == new.state
 
 
-def test_a_process_that_stood_still_does_not_take_the_others_for_lost():
-    net = Calm()
-    net.go(4 * TIMEOUT)
+def test_a_suspended_process_does_not_consider_the_others_lost():
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     leader, term = net.leader(), net.leader().replica.state.term
     for stall in (0.6, 1.0, 3.0, 20.0):
-        net.now += stall * TIMEOUT  # all stand still, as when one computer runs them
-        net.go(2 * TIMEOUT)
+        net.now += stall * TIMEOUT  # all are suspended, as when they run on one host
+        net.run_for(2 * TIMEOUT)
         assert net.leader() is leader and leader.replica.state.term == term
 
 
-def lagging_behind_a_snapshot() -> tuple[Calm, object, object]:
-    """A leader that has compacted its log, and a voter whose log ends before it."""
-    net = Calm()
-    net.go(4 * TIMEOUT)
+def lagging_behind_a_snapshot() -> tuple[FaultFreeNet, object, object]:
+    """A leader with a compacted log, and a voter whose log ends before the leader's log starts."""
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     leader = net.leader()
     behind = next(voter for voter in net.voters.values() if voter is not leader)
     net.isolate(behind.name)
     for _ in range(20):
         net.propose(leader)
-        net.go(0.1)
+        net.run_for(0.1)
     leader.compact(0)
     assert leader.disk.snapshot[0] == 21 and len(leader.disk.snapshot[2]) > 5 * PIECE
     net.cuts.clear()
     return net, leader, behind
 
 
-def test_a_voter_behind_the_compacted_log_gets_the_snapshot_in_pieces():
+def test_a_voter_behind_the_compacted_log_receives_the_snapshot_in_pieces():
     net, leader, behind = lagging_behind_a_snapshot()
     pieces = []
     store = behind.disk.store
     behind.disk.store = lambda record: (pieces.append(record), store(record))
-    net.go(3 * TIMEOUT)
+    net.run_for(3 * TIMEOUT)
     sizes = [len(piece.data) for piece in pieces if isinstance(piece, NewPiece)]
     assert max(sizes) == PIECE and sum(sizes) == len(leader.disk.snapshot[2])
     assert behind.state == leader.state
 
 
-def test_a_snapshot_goes_on_where_a_cut_stopped_it():
+def test_a_snapshot_transfer_resumes_after_a_disconnection():
     net, leader, behind = lagging_behind_a_snapshot()
-    while behind.replica.follower.offset < 3 * PIECE:
+    while behind.replica.log_acceptor.offset < 3 * PIECE:
         net.now += 0.05
         leader.replica.tick(leader.now)
-        net.pass_on()
+        net.deliver_all()
     net.isolate(behind.name)
-    net.go(3 * TIMEOUT)
-    offset = behind.replica.follower.offset
+    net.run_for(3 * TIMEOUT)
+    offset = behind.replica.log_acceptor.offset
     net.cuts.clear()
     pieces = []
     store = behind.disk.store
     behind.disk.store = lambda record: (pieces.append(record), store(record))
-    net.go(3 * TIMEOUT)
+    net.run_for(3 * TIMEOUT)
     assert [piece.offset for piece in pieces if isinstance(piece, NewPiece)][0] == offset >= 3 * PIECE
     assert behind.state == leader.state
 
 
-def test_a_lost_voter_does_not_keep_the_log_from_being_compacted():
+def test_a_lost_voter_does_not_prevent_log_compaction():
     net, leader, behind = lagging_behind_a_snapshot()
-    while not behind.replica.follower.offset:
+    while not behind.replica.log_acceptor.offset:
         net.now += 0.05
         leader.replica.tick(leader.now)
-        net.pass_on()
+        net.deliver_all()
     behind.crash()
     assert not leader.replica.can_compact()
-    net.go(50 * TIMEOUT)
+    net.run_for(50 * TIMEOUT)
     assert leader.replica.can_compact()
 
 
-def test_a_foreign_cluster_and_a_wrong_address_are_refused():
-    net = Calm()
+def test_messages_of_a_wrong_cluster_or_address_are_refused():
+    net = FaultFreeNet()
     replica = net.voters["a"].replica
     good = dict(term=9, pre_vote=False, last_position=9, last_term=9)
     for cluster, sender, recipient in (("x", "b", "a"), ("test", "x", "a"), ("test", "b", "c")):
@@ -139,7 +139,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_give_messages_or_badmessage(body):
+def test_arbitrary_bytes_give_messages_or_badmessage(body):
     with suppress(BadMessage):
         assert isinstance(decode(body), list)
 
@@ -157,18 +157,18 @@
 
 @given(st.integers(0, 2**32))
 def test_a_damaged_message_gives_messages_or_badmessage(seed):
-    chance = random.Random(seed)
-    body = bytearray(chance.choice(BODIES))
-    for _ in range(chance.randint(1, 3)):
-        body[chance.randrange(len(body))] = chance.randrange(256)
+    rng = random.Random(seed)
+    body = bytearray(rng.choice(BODIES))
+    for _ in range(rng.randint(1, 3)):
+        body[rng.randrange(len(body))] = rng.randrange(256)
     with suppress(BadMessage):
-        for message in decode(bytes(body[: chance.randint(1, len(body))])):
+        for message in decode(bytes(body[: rng.randint(1, len(body))])):
             encode([message])
 
 
-def test_entries_with_a_gap_are_no_message():
-    net = Calm()
-    net.go(4 * TIMEOUT)
+def test_entries_with_a_gap_are_refused():
+    net = FaultFreeNet()
+    net.run_for(4 * TIMEOUT)
     leader = net.leader()
     leader.replica.take()
     leader.replica.propose(b"x", leader.now)
