--- a/ryestack/control/catalogue.py
+++ b/ryestack/control/catalogue.py
@@ -61,9 +61,8 @@
         self.version, self.floor = 0, 0
         self._max_tombstones = max_tombstones
         self._entries: dict[str, Entry] = {}  # by key, in version order
-        self._shards: dict[
-            str, dict[str, Entry]
-        ] = {}  # by shard; a moved key has a tombstone in its old shard
+        # The same by shard; a moved key has a tombstone in its old shard.
+        self._shards: dict[str, dict[str, Entry]] = {}
         self._shard_order: list[str] = []
         self._tombstones: deque[Entry] = deque()
 
@@ -92,7 +91,7 @@
         for entry in entries:
             if not max(last, self.version + 1) <= entry.version <= version:
                 raise OutOfOrder(
-                    f"{entry.key} has version {entry.version}: not after {last} and up to {version}"
+                    f"{entry.key} has version {entry.version}, expected after {last} and up to {version}"
                 )
             last = entry.version
         if version < self.version:
--- a/ryestack/control/frames.py
+++ b/ryestack/control/frames.py
@@ -67,8 +67,8 @@
 def _read_data(file: BinaryIO, head: bytes, offset: int) -> bytes:
     if len(head) < HEAD.size:
         raise DamagedFrame(offset, "the file ends within a frame's head")
-    mark, length, checksum = HEAD.unpack(head)
-    if mark != MAGIC or length > MAX_FRAME_BYTES:
+    magic, length, checksum = HEAD.unpack(head)
+    if magic != MAGIC or length > MAX_FRAME_BYTES:
         raise DamagedFrame(offset, "no frame found")
     data = file.read(length)
     if len(data) < length:
--- a/ryestack/control/leadership.py
+++ b/ryestack/control/leadership.py
@@ -72,10 +72,8 @@
 
     def has_quorum(self, now: float) -> bool:
         """Whether a majority, including this replica, has replied within an election timeout."""
-        last_reply_at = sum(
-            abs(now - progress.last_reply_at) < self.timeout for progress in self.progress.values()
-        )
-        return last_reply_at + 1 >= self.state.majority
+        replied = sum(abs(now - progress.last_reply_at) < self.timeout for progress in self.progress.values())
+        return replied + 1 >= self.state.majority
 
     def postpone(self, seconds: float) -> None:
         """Extends the timers by the time for which the process was suspended."""
--- a/ryestack/control/log_file.py
+++ b/ryestack/control/log_file.py
@@ -48,7 +48,7 @@
 
     An incomplete last frame was torn by a power loss before it was acknowledged, so it is ignored.
     """
-    found, log = Persisted(), Log()
+    persisted, log = Persisted(), Log()
     with open(path, "rb") as file:
         try:
             frames = read_frames(file)
@@ -56,14 +56,14 @@
             _check_owner(path, head, cluster, machine)
             log = Log(head.base, head.base_term)
             for data in frames:
-                _replay(path, data, found, log)
+                _replay(path, data, persisted, log)
             end = file.tell()
         except DamagedFrame as error:
             if error.offset == 0 or holds_frame(file, error.offset + 1):
                 raise BadStorage(f"{path}: {error}") from None
             end = error.offset
-    found.base, found.base_term, found.entries = log.base, log.base_term, log.entries
-    return found, end
+    persisted.base, persisted.base_term, persisted.entries = log.base, log.base_term, log.entries
+    return persisted, end
 
 
 def write_log(path: Path, cluster: str, machine: str, content: Persisted) -> None:
@@ -96,12 +96,12 @@
         raise BadStorage(f"{path}: is of machine {head.machine!r}, this is {machine!r}")
 
 
-def _replay(path: Path, data: bytes, found: Persisted, log: Log) -> None:
+def _replay(path: Path, data: bytes, persisted: Persisted, log: Log) -> None:
     try:
         for record in _decoder.decode(data):
             match record:
                 case HardState():
-                    found.term, found.vote = record.term, record.vote
+                    persisted.term, persisted.vote = record.term, record.vote
                 case NewEntries():
                     log.append(record.entries)
                 case Restart():
--- a/ryestack/control/machine.py
+++ b/ryestack/control/machine.py
@@ -76,7 +76,9 @@
         await self._server.open()
         event("machine.open", machine=self.name, address=self._machines[self.name].address)
         work = self.change_log or self.follower
-        tasks = [asyncio.ensure_future(one) for one in (work.run(), self._send_reports(), stop.wait())]
+        tasks = [
+            asyncio.ensure_future(coroutine) for coroutine in (work.run(), self._send_reports(), stop.wait())
+        ]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
--- a/ryestack/control/storage.py
+++ b/ryestack/control/storage.py
@@ -40,11 +40,11 @@
             if self.snapshot_path.exists():
                 raise BadStorage(f"{self.log_path}: is missing, but {self.snapshot_path.name} exists")
             write_log(self.log_path, self.cluster, self.machine, Persisted())
-        found, end = read_log(self.log_path, self.cluster, self.machine)
+        persisted, end = read_log(self.log_path, self.cluster, self.machine)
         os.truncate(self.log_path, end)
-        self._add_snapshot(found)
+        self._add_snapshot(persisted)
         self._open_log()
-        return found
+        return persisted
 
     def store(self, records: list[Record]) -> None:
         """Returns once all records are on disk.
@@ -105,19 +105,22 @@
             self._log = -1
         os.close(self._lock)
 
-    def _add_snapshot(self, found: Persisted) -> None:
+    def _add_snapshot(self, persisted: Persisted) -> None:
         if self.snapshot_path.exists():
             head = read_head(self.snapshot_path, self.cluster)
-            found.snapshot_position, found.snapshot_term = head.position, head.term
+            persisted.snapshot_position, persisted.snapshot_term = head.position, head.term
             self._measure_snapshot()
-        if found.snapshot_position < found.base:
-            end = f"ends at {found.snapshot_position}"
-            raise BadStorage(f"{self.snapshot_path}: {end}, but the log starts after {found.base}")
-        log = Log(found.base, found.base_term, found.entries)
-        if found.snapshot_position > 0 and log.term_at(found.snapshot_position) != found.snapshot_term:
+        if persisted.snapshot_position < persisted.base:
+            end = f"ends at {persisted.snapshot_position}"
+            raise BadStorage(f"{self.snapshot_path}: {end}, but the log starts after {persisted.base}")
+        log = Log(persisted.base, persisted.base_term, persisted.entries)
+        if (
+            persisted.snapshot_position > 0
+            and log.term_at(persisted.snapshot_position) != persisted.snapshot_term
+        ):
             # The process ended after the snapshot was installed and before the log recorded it.
-            log.restart(found.snapshot_position, found.snapshot_term)
-        found.base, found.base_term, found.entries = log.base, log.base_term, log.entries
+            log.restart(persisted.snapshot_position, persisted.snapshot_term)
+        persisted.base, persisted.base_term, persisted.entries = log.base, log.base_term, log.entries
 
     def _store_piece(self, piece: NewPiece) -> list[LogRecord]:
         """Writes a piece of a snapshot; returns the log records to store after its last piece."""
--- a/tests/test_control_relay.py
+++ b/tests/test_control_relay.py
@@ -13,7 +13,7 @@
 import aiohttp
 import pytest
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.control.holdings import HoldingsSnapshot
 from ryestack.control.messages import Entry
 from ryestack.lab.trial import free_port
@@ -60,11 +60,11 @@
         )
         self.ops = f"127.0.0.1:{free_port()}"
         self.listen = f"127.0.0.1:{free_port()}"
-        self.told = config(self.folder, "127.0.0.1:9", listen=self.listen, ops=self.ops)
+        self.config_path = config(self.folder, "127.0.0.1:9", listen=self.listen, ops=self.ops)
         return await self.go()
 
     async def go(self):
-        return await self.run_it(self.told, RYESTACK_OPERATOR=str(self.operator))
+        return await self.run_it(self.config_path, RYESTACK_OPERATOR=str(self.operator))
 
     async def stop(self, process):
         process.terminate()
@@ -121,7 +121,7 @@
     async def test_settings_are_applied_completely_or_not_at_all(self):
         process = await self.begin(change(destination(7, "127.0.0.1:9")))
         self.assertEqual(await self.hand_in("n", **{"X-Class": "fresh"}), 400)
-        settings = json.loads(Path(self.told).read_text())["settings"]
+        settings = json.loads(Path(self.config_path).read_text())["settings"]
         fresh = {**settings, "grades": [*settings["grades"], {**settings["grades"][0], "name": "fresh"}]}
         newest = self.server.change(("setting/settings", "*", json.dumps(fresh).encode()))
         await self.applied(newest)
@@ -200,8 +200,8 @@
 def test_an_endpoint_removed_from_its_destination_is_listed_as_gone():
     members = ScopedMembers(Clock())
     members.change([destination(7, "a:1", "b:1")], [], 1)
-    update = members.change([destination(7, "c:1")], [], 2)
-    assert listed(update) == {"0@7": it.Listed.READY, "1@7": it.Listed.GONE} and not update.whole
+    delta = members.change([destination(7, "c:1")], [], 2)
+    assert listed(delta) == {"0@7": interface.Listed.READY, "1@7": interface.Listed.GONE} and not delta.whole
     assert members.address("0@7") == "c:1"
 
 
@@ -219,7 +219,7 @@
     assert not any(map(members.has, (7, 8, 9))) and members.address("0@7") == "a:1"
     assert not members.let_go({7}).endpoints  # a notification may be on its way to the ledger
     clock.now = SETTLE_SECONDS
-    assert listed(members.let_go({7})) == {"0@8": it.Listed.GONE}
+    assert listed(members.let_go({7})) == {"0@8": interface.Listed.GONE}
     members.change([destination(7, "b:1")], [], 3)
     clock.now = 100.0
     assert not members.let_go(set()).endpoints and members.has(7) and not members.leaving
