--- a/ryestack/control/bounded_load.py
+++ b/ryestack/control/bounded_load.py
@@ -1,9 +1,9 @@
-"""Consistent hashing with bounded loads: deals the seats of shards to relays, none above its bound.
+"""Consistent hashing with bounded loads: assigns replicas of shards to relays, none above its bound.
 
-After Mirrokni, Thorup and Zadimoghaddam (2018), with independent probes in place of a walk to the next
-position (Chen, Coleman and Shrivastava, 2021), which keeps an overflow from piling up behind one full
-relay. The result is a function of the relays and the seats wanted alone: neither the order of joining nor
-what was dealt before counts.
+After Mirrokni, Thorup and Zadimoghaddam (2018), with independent probes in place of linear probing on the
+ring (Chen, Coleman and Shrivastava, 2021), so that the overflow of a full relay does not pile up on the next
+one. The result depends only on the relays and the replica counts, not on the order of joining nor on earlier
+assignments.
 """
 
 import math
@@ -12,14 +12,14 @@
 from functools import lru_cache
 from itertools import chain, islice
 
-from ryestack.control.stable_hash import as_fraction, hash_table, hash_word, hash_words
+from ryestack.control.stable_hash import as_fraction, hash_table, hash_u64, hash_u64s
 
 RING_POSITIONS = 32
-"""Positions on the ring of a relay of weight 1: more make its arcs evener and the ring slower to sort."""
+"""Ring positions of a relay of weight 1: more give a more even distribution but a slower sort."""
 PROBES = 8
-"""Independent positions tried for a shard before the ring is walked from the last of them."""
+"""Independent positions tried for a shard before the ring is scanned from the last of them."""
 INDEX_BITS = 20
-"""Low bits of a ring entry that hold the relay's index; the position is above them."""
+"""Low bits of a ring entry that hold the relay's index; the high bits hold the position."""
 MAXIMUM_RELAYS = 1 << INDEX_BITS
 ROUNDING = 1e-9
 """Shares closer than this to a whole number count as whole."""
@@ -27,7 +27,7 @@
 _INDEX_MASK = MAXIMUM_RELAYS - 1
 
 Probes = Sequence[tuple[int, ...]]
-"""By shard number: positions at which the shard looks for relays, in the order of its preference."""
+"""By shard number: the ring positions at which to look for relays, in order of preference."""
 
 
 @lru_cache(maxsize=1)
@@ -37,7 +37,7 @@
 
 
 def fair_shares(total: float, weights: Mapping[str, float], limits: Mapping[str, float]) -> dict[str, float]:
-    """Splits `total` in proportion to the weights; what a limit cuts off goes to the others likewise."""
+    """Splits `total` in proportion to the weights; what exceeds a limit is split among the others."""
     shares: dict[str, float] = {}
     open_names = sorted(weights)
     remaining = total
@@ -54,104 +54,109 @@
 
 
 def load_bound(fair_share: float, slack: float, shard_count: int) -> int:
-    """The most seats that a relay with this fair share is ever dealt: ceil((1 + slack) x fair share)."""
+    """The maximum number of replicas for a relay with this fair share: ceil((1 + slack) x fair share)."""
     return min(shard_count, math.ceil((1 + slack) * fair_share - ROUNDING))
 
 
 def capacity(name: str, fair_share: float, slack: float, shard_count: int) -> int:
-    """A relay's capacity in seats, never above `load_bound` and never below its fair share.
+    """A relay's capacity in replicas, never above `load_bound` and never below its fair share.
 
-    Between the two whole numbers around (1 + slack) x fair share, a hash of the name decides. When the
-    number of relays changes, capacities so step one relay after another and not all at once.
+    A hash of the name decides whether (1 + slack) x fair share is rounded up or down. So when the number of
+    relays changes, the capacities change for one relay after another and not for all at once.
     """
-    stepped = math.floor((1 + slack) * fair_share + as_fraction(hash_word(f"capacity|{name}")))
-    least = math.ceil(fair_share - ROUNDING)
-    return min(load_bound(fair_share, slack, shard_count), max(least, stepped))
+    rounded = math.floor((1 + slack) * fair_share + as_fraction(hash_u64(f"capacity|{name}")))
+    minimum = math.ceil(fair_share - ROUNDING)
+    return min(load_bound(fair_share, slack, shard_count), max(minimum, rounded))
 
 
-class Dealer:
-    """Deals seats to the relays of one group, one shard after another, from a ring of hash positions."""
+class ReplicaAssigner:
+    """Assigns replicas to the relays of one group, shard by shard, with a hash ring."""
 
-    def __init__(self, weights: Mapping[str, float], wanted: Mapping[int, int], slack: float) -> None:
+    def __init__(self, weights: Mapping[str, float], replica_counts: Mapping[int, int], slack: float) -> None:
         if len(weights) > MAXIMUM_RELAYS:
             raise ValueError(f"{len(weights)} relays in one group, {MAXIMUM_RELAYS} at most")
-        shares = fair_shares(sum(wanted.values()), weights, dict.fromkeys(weights, len(wanted)))
-        self._room = {name: capacity(name, shares[name], slack, len(wanted)) for name in weights}
-        self._wanted = wanted
-        self._dealt: dict[int, list[str]] = {}
+        shares = fair_shares(
+            sum(replica_counts.values()), weights, dict.fromkeys(weights, len(replica_counts))
+        )
+        self._free_capacity = {
+            name: capacity(name, shares[name], slack, len(replica_counts)) for name in weights
+        }
+        self._replica_counts = replica_counts
+        self._assigned: dict[int, list[str]] = {}
         self._ring = _sorted_ring(weights)
         names = sorted(weights)
         self._owners = [names[entry & _INDEX_MASK] for entry in self._ring]
-        self._owners += self._owners[:1]  # the owner behind the last entry: there the ring begins again
+        self._owners += self._owners[:1]  # positions after the last entry wrap around to the first
 
-    def deal(self, probes: Probes) -> dict[int, list[str]]:
-        """The relays of each shard number."""
-        for number, seats in self._wanted.items():
-            self._dealt[number] = self._take(seats, probes[number]) if seats else []
-        return self._dealt
+    def assign(self, probes: Probes) -> dict[int, list[str]]:
+        """Returns the relays of each shard number."""
+        for number, replicas in self._replica_counts.items():
+            self._assigned[number] = self._assign_shard(replicas, probes[number]) if replicas else []
+        return self._assigned
 
-    def _take(self, seats: int, probes: tuple[int, ...]) -> list[str]:
-        ring, owners, room = self._ring, self._owners, self._room
-        taken: list[str] = []
+    def _assign_shard(self, replicas: int, probes: tuple[int, ...]) -> list[str]:
+        ring, owners, free_capacity = self._ring, self._owners, self._free_capacity
+        chosen: list[str] = []
         for probe in probes:
             name = owners[bisect(ring, probe)]
-            if room[name] and name not in taken:
-                room[name] -= 1
-                taken.append(name)
-                if len(taken) == seats:
-                    return taken
-        self._walk(bisect(ring, probes[-1]), seats, taken)
-        while len(taken) < seats:
-            taken.append(self._swap(taken))
-        return taken
-
-    def _walk(self, start: int, seats: int, taken: list[str]) -> None:
-        """Takes the next relays with room on the ring, until there are as many as seats or all were seen."""
+            if free_capacity[name] and name not in chosen:
+                free_capacity[name] -= 1
+                chosen.append(name)
+                if len(chosen) == replicas:
+                    return chosen
+        self._scan_ring(bisect(ring, probes[-1]), replicas, chosen)
+        while len(chosen) < replicas:
+            chosen.append(self._free_by_swap(chosen))
+        return chosen
+
+    def _scan_ring(self, start: int, replicas: int, chosen: list[str]) -> None:
+        """Adds the next relays on the ring with free capacity, until there are enough or all were visited."""
         for name in chain(islice(self._owners, start, None), islice(self._owners, start)):
-            if self._room[name] and name not in taken:
-                self._room[name] -= 1
-                taken.append(name)
-                if len(taken) == seats:
+            if self._free_capacity[name] and name not in chosen:
+                self._free_capacity[name] -= 1
+                chosen.append(name)
+                if len(chosen) == replicas:
                     return
 
-    def _swap(self, taken: list[str]) -> str:
-        """Frees a relay for a shard that holds a seat of every relay with room, and returns the relay.
+    def _free_by_swap(self, chosen: list[str]) -> str:
+        """Frees a relay for a shard that already has every relay with free capacity, and returns it.
 
-        An earlier shard without the relay that has room gives up one of its own relays for it. There always
-        is one: if all earlier shards held all relays with room, the room left would be less than the seats
-        still to be dealt, while capacities together are never less than the seats wanted.
+        An earlier shard that lacks a relay with free capacity swaps one of its relays for it. Such a shard
+        always exists: if all earlier shards had all relays with free capacity, the free capacity would be
+        less than the replicas still to be assigned, but the total capacity is never less than the total
+        number of replicas.
         """
-        for roomy in taken:
-            if not self._room[roomy]:
+        for candidate in chosen:
+            if not self._free_capacity[candidate]:
                 continue
-            for relays in self._dealt.values():
-                spare = [name for name in relays if name not in taken]
-                if spare and roomy not in relays:
-                    relays[relays.index(spare[0])] = roomy
-                    self._room[roomy] -= 1
+            for relays in self._assigned.values():
+                spare = [name for name in relays if name not in chosen]
+                if spare and candidate not in relays:
+                    relays[relays.index(spare[0])] = candidate
+                    self._free_capacity[candidate] -= 1
                     return spare[0]
-        raise AssertionError("capacities are less than the seats wanted")
+        raise AssertionError("total capacity is less than the number of replicas")
 
 
 def _sorted_ring(weights: Mapping[str, float]) -> list[int]:
-    """Entries with a position in the high bits and the index of its relay, by name, in the low ones.
+    """Ring entries, with a position in the high bits and the index of its relay (by name) in the low bits.
 
-    A relay has positions in proportion to its weight.
+    The number of positions of a relay is proportional to its weight.
     """
     return sorted(
         position & ~_INDEX_MASK | index
         for index, name in enumerate(sorted(weights))
-        for position in hash_words(name, max(1, round(RING_POSITIONS * weights[name])))
+        for position in hash_u64s(name, max(1, round(RING_POSITIONS * weights[name])))
     )
 
 
-def deal_seats(
-    weights: Mapping[str, float], wanted: Mapping[int, int], slack: float, probes: Probes
+def assign_replicas(
+    weights: Mapping[str, float], replica_counts: Mapping[int, int], slack: float, probes: Probes
 ) -> dict[int, list[str]]:
-    """Deals shards their seats among the relays named in `weights`, distinct within a shard.
+    """Assigns relays named in `weights` to shards, distinct relays within a shard.
 
-    `wanted` is shard number to seats. No relay gets more than ceil((1 + slack) x fair share) seats, where
-    fair shares are in proportion to weights and none exceeds the number of shards. No shard may want more
-    seats than there are relays, and seats wanted by two shards may differ by one at most.
+    replica_counts: shard number to replicas. No relay gets more than ceil((1 + slack) x fair share) replicas;
+    fair shares are proportional to weights, and none exceeds the number of shards. No shard may have more
+    replicas than there are relays, and the replica counts of two shards may differ by at most one.
     """
-    return Dealer(weights, wanted, slack).deal(probes)
+    return ReplicaAssigner(weights, replica_counts, slack).assign(probes)
--- a/ryestack/control/holdings.py
+++ b/ryestack/control/holdings.py
@@ -1,4 +1,4 @@
-"""What a relay holds in force: the entries of its shards at one version. Pure."""
+"""The entries that are in force at a relay: those of its shards at one version. Pure."""
 
 from collections.abc import Iterable
 
@@ -7,8 +7,8 @@
 from .messages import Entry
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """Holdings as they outlast a process."""
+class HoldingsSnapshot(msgspec.Struct, frozen=True):
+    """Holdings in the form that is saved across restarts."""
 
     version: int
     shards: list[str]
@@ -16,7 +16,7 @@
 
 
 class Update(msgspec.Struct, frozen=True):
-    """What a version changes: entries with a value, new or other than before, and keys that are gone."""
+    """The difference to the previous version: new or changed entries, and the keys that were removed."""
 
     version: int
     entries: list[Entry]
@@ -24,40 +24,43 @@
 
 
 class Holdings:
-    """version: 0 before the first is applied; shards: of the scope; tables: shard to key to entry."""
+    """version: 0 before the first one is applied; shards: the scope; tables: shard to key to entry."""
 
-    def __init__(self, kept: Kept | None = None) -> None:
-        self.version = kept.version if kept else 0
-        self.shards = frozenset(kept.shards if kept else ())
+    def __init__(self, snapshot: HoldingsSnapshot | None = None) -> None:
+        self.version = snapshot.version if snapshot else 0
+        self.shards = frozenset(snapshot.shards if snapshot else ())
         self.tables: dict[str, dict[str, Entry]] = {}
         self.by_key: dict[str, Entry] = {}
-        for entry in kept.entries if kept else ():
-            self._put(entry)
+        for entry in snapshot.entries if snapshot else ():
+            self._insert(entry)
 
-    def kept(self) -> Kept:
-        """For `Holdings(kept)` of a later process."""
-        return Kept(self.version, sorted(self.shards), list(self.by_key.values()))
+    def snapshot(self) -> HoldingsSnapshot:
+        """A copy from which `Holdings` can be restored in a later process."""
+        return HoldingsSnapshot(self.version, sorted(self.shards), list(self.by_key.values()))
 
     def replace(
         self, version: int, shards: Iterable[str], removed: Iterable[str], live: Iterable[Entry]
     ) -> None:
-        """Another version is in force: keys that are gone, and entries that are new or may have moved."""
+        """Puts another version in force: drops the removed keys and stores entries that are new or changed.
+
+        An entry may have moved to another shard.
+        """
         self.version, self.shards = version, frozenset(shards)
         for key in removed:
-            self._drop(key)
+            self._remove(key)
         for entry in live:
-            self._put(entry)
+            self._insert(entry)
 
-    def _put(self, entry: Entry) -> None:
-        self._drop(entry.key)
+    def _insert(self, entry: Entry) -> None:
+        self._remove(entry.key)
         self.tables.setdefault(entry.shard, {})[entry.key] = entry
         self.by_key[entry.key] = entry
 
-    def _drop(self, key: str) -> None:
-        before = self.by_key.pop(key, None)
-        if before is None:
+    def _remove(self, key: str) -> None:
+        previous = self.by_key.pop(key, None)
+        if previous is None:
             return
-        table = self.tables[before.shard]
+        table = self.tables[previous.shard]
         del table[key]
         if not table:
-            del self.tables[before.shard]
+            del self.tables[previous.shard]
--- a/ryestack/control/log_file.py
+++ b/ryestack/control/log_file.py
@@ -1,4 +1,4 @@
-"""The file of the change log: a head, then frames of records, each frame one fsync's worth."""
+"""The change log file: a head, then frames of records; each frame was written with one fsync."""
 
 import os
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 
 class Restart(msgspec.Struct, frozen=True, tag="restart"):
-    """A leader's snapshot has taken the place of the log up to `position`."""
+    """A leader's snapshot replaced the log up to `position`."""
 
     position: int
     term: int
@@ -39,16 +39,16 @@
 
 
 def encode_records(records: list[LogRecord]) -> bytes:
-    """The records as one frame."""
+    """Encodes records as one frame."""
     return frame(msgspec.msgpack.encode(records))
 
 
 def read_log(path: Path, cluster: str, machine: str) -> tuple[Persisted, int]:
-    """What the log holds, and where its last whole frame ends. Raises BadStorage, OSError.
+    """Reads the log; returns its content and where its last complete frame ends. Raises BadStorage, OSError.
 
-    A last frame that is not whole was torn by a power loss before anything was said of it: it doesn't count.
+    An incomplete last frame was torn by a power loss before it was acknowledged, so it is ignored.
     """
-    found, log = Persisted(), Log()
+    persisted, log = Persisted(), Log()
     with open(path, "rb") as file:
         try:
             frames = read_frames(file)
@@ -56,31 +56,31 @@
             _check_owner(path, head, cluster, machine)
             log = Log(head.base, head.base_term)
             for data in frames:
-                _replay(path, data, found, log)
+                _replay(path, data, persisted, log)
             end = file.tell()
-        except DamagedFrame as problem:
-            if problem.offset == 0 or holds_frame(file, problem.offset + 1):
-                raise BadStorage(f"{path}: {problem}") from None
-            end = problem.offset
-    found.base, found.base_term, found.entries = log.base, log.base_term, log.entries
-    return found, end
+        except DamagedFrame as error:
+            if error.offset == 0 or holds_frame(file, error.offset + 1):
+                raise BadStorage(f"{path}: {error}") from None
+            end = error.offset
+    persisted.base, persisted.base_term, persisted.entries = log.base, log.base_term, log.entries
+    return persisted, end
 
 
 def write_log(path: Path, cluster: str, machine: str, content: Persisted) -> None:
-    """Put a log with this content in the place of what is there, whole. Raises OSError: the old one is."""
-    fresh = path.with_name(path.name + ".new")
+    """Atomically replaces the log. Raises OSError, after which the old log is unchanged."""
+    replacement = path.with_name(path.name + ".new")
     head = LogHead(FORMAT, cluster, machine, content.base, content.base_term)
     try:
-        with open(fresh, "wb") as file:
+        with open(replacement, "wb") as file:
             file.write(frame(msgspec.msgpack.encode(head)))
             for records in _as_records(content):
                 file.write(encode_records(records))
             file.flush()
             os.fsync(file.fileno())
     except OSError:
-        fresh.unlink(missing_ok=True)
+        replacement.unlink(missing_ok=True)
         raise
-    replace(fresh, path)
+    replace(replacement, path)
 
 
 def _as_records(content: Persisted) -> Iterator[list[LogRecord]]:
@@ -96,15 +96,15 @@
         raise BadStorage(f"{path}: is of machine {head.machine!r}, this is {machine!r}")
 
 
-def _replay(path: Path, data: bytes, found: Persisted, log: Log) -> None:
+def _replay(path: Path, data: bytes, persisted: Persisted, log: Log) -> None:
     try:
         for record in _decoder.decode(data):
             match record:
                 case HardState():
-                    found.term, found.vote = record.term, record.vote
+                    persisted.term, persisted.vote = record.term, record.vote
                 case NewEntries():
                     log.append(record.entries)
                 case Restart():
                     log.restart(record.position, record.term)
-    except (msgspec.MsgspecError, ValueError, IndexError) as problem:
-        raise BadStorage(f"{path}: a record is not readable: {problem}") from None
+    except (msgspec.MsgspecError, ValueError, IndexError) as error:
+        raise BadStorage(f"{path}: a record is not readable: {error}") from None
--- a/ryestack/lifecycle/scope/directory.py
+++ b/ryestack/lifecycle/scope/directory.py
@@ -53,9 +53,9 @@
             self._check,
             hold=control.hold,
             clock=owner.clock,
-            chance=random.Random(f"{seed}:{self.relay}:{self.session}"),
-            kept=self.saved.kept if self.saved else None,
-            trouble=self._trouble,
+            rng=random.Random(f"{seed}:{self.relay}:{self.session}"),
+            snapshot=self.saved.kept if self.saved else None,
+            on_failure=self._trouble,
         )
         self._following: asyncio.Future | None = None
         self._updates: list[interface.ListUpdate] = []  # until the owner runs
@@ -189,7 +189,7 @@
         leaving = [entry for _, entry in self.members.leaving.values()]
         head = scope_file.FORMAT, self.control.cluster, self.relay, self.session
         confirmed_at = now - age if age < inf else 0.0
-        saved = SavedScope(*head, confirmed_at, self.client.subscriber.holdings.kept(), leaving)
+        saved = SavedScope(*head, confirmed_at, self.client.subscriber.holdings.snapshot(), leaving)
         existing = scope_file.load(self.folder, self.control.cluster, self.relay)
         if existing is not None and existing.session > self.session:
             return  # written by our successor
