--- a/ryestack/ports.py
+++ b/ryestack/ports.py
@@ -138,8 +138,7 @@
         """Cancel the call that carries that push, if there is one."""
 
     def cancel_unsent(self, endpoint: str) -> None:
-        """End the calls to that endpoint that have not begun, as not sent: their connection may come up
-        late."""
+        """End calls to that endpoint that have not begun, as not sent: their connection may come up late."""
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to that endpoint; calls in flight continue."""
@@ -172,8 +171,10 @@
         """The updates available at once, before anything is pushed; empty if an answer takes too long."""
 
     async def run(self, publish: PublishEvents) -> None:
-        """Publish list updates until cancelled; failures are published too, and leave the last list in
-        force."""
+        """Publish list updates until cancelled.
+
+        Failures are published too, and leave the last list in force.
+        """
 
     def refresh(self) -> None:
         """Request the list now: the decision module asks for it after a failure."""
--- a/ryestack/wire/acceptor.py
+++ b/ryestack/wire/acceptor.py
@@ -57,8 +57,10 @@
             connection.close()
 
     def accept_failed(self, error: OSError) -> None:
-        """Log a failed accept. An error of one connection affects that one only; lack of resources pauses
-        accepting for a moment."""
+        """Log a failed accept.
+
+        An error of one connection affects that one only; lack of resources pauses accepting for a moment.
+        """
         self.failures += 1
         event("accept.failed", why=errno.errorcode.get(error.errno, str(error)))
         if error.errno in OUT_OF_RESOURCES and self.retry_timer is None:
--- a/ryestack/wire/answers.py
+++ b/ryestack/wire/answers.py
@@ -55,8 +55,7 @@
 
 
 def batch_answers(ids: list[str], body: bytes, headers, wait: float) -> dict[str, Answer]:
-    """The answer for each id, from a 200 to a call with several messages; one that it leaves out has
-    failed."""
+    """The answer for each id, from a 200 to a call with several messages; one left out has failed."""
     result_words, report = forms.result_words(body), forms.load_report(headers.get("X-Load"))
     limit, left = limit_of(report), left_of(report)
     words = {name: result_words.get(name, "failed") for name in ids}
--- a/ryestack/wire/calls.py
+++ b/ryestack/wire/calls.py
@@ -160,8 +160,7 @@
         self.report_outcomes(progress, batch, answers, failure, self.clock() - began)
 
     def prepare(self, progress: CallProgress, batch: Batch, timeout: float) -> asyncio.TimerHandle | None:
-        """Connect a call's callbacks; returns the timer that ends it if its first byte is not written in
-        time."""
+        """Connect a call's callbacks; returns the timer that ends it if it does not begin in time."""
         loop, start_timeout = asyncio.get_running_loop(), min(m.start_timeout for m in batch.messages)
         progress.timeout = asyncio.timeout(timeout)
         progress.on_status_line = lambda: self.status_line_received(progress, len(batch.messages) == 1)
--- a/ryestack/wire/client_connection.py
+++ b/ryestack/wire/client_connection.py
@@ -60,8 +60,9 @@
 
 
 class ClientConnection(web.RequestHandler):
-    """One client's connection. Bytes that cannot be parsed end it with an error, behind the answers to all
-    requests that were read before them.
+    """One client's connection.
+
+    Bytes that cannot be parsed end it with an error, behind the answers to all requests read before them.
 
     read_at: when its last bytes were read. received_at: when the kernel received them. unparsable: whether
     bytes could not be parsed. raw_transport: the transport without the replaced close.
@@ -131,8 +132,7 @@
                 self.transport.pause_reading()
 
     def is_stale(self, data: bytes) -> bool:
-        """Whether a submission begins whose client has given up: under overload all work would be for
-        such."""
+        """Whether the client of a new submission has given up: under overload all work would be for such."""
         return (
             self.read_at > self.received_at + CLIENT_TIMEOUT_S
             and data.startswith(SUBMISSION_PREFIX)
@@ -140,8 +140,7 @@
         )
 
     def _process_keepalive(self) -> None:
-        """The library's end of an idle connection; put off while a request has been received and is
-        unread."""
+        """The library's end of an idle connection; put off while a received request is unread."""
         if (
             self.ending is None
             and self.idle()
@@ -156,9 +155,8 @@
 
     def idle(self) -> bool:
         """Whether it waits for a request of which no complete head has come."""
-        return (
-            self._waiter is not None and not self._waiter.done()
-        )  # done: a request has come and is not begun
+        # The waiter is done if a request has come whose handling has not begun.
+        return self._waiter is not None and not self._waiter.done()
 
     def idle_deadline(self) -> float:
         """When it ends if no request comes."""
@@ -197,8 +195,10 @@
         super().connection_lost(handler, exc)
 
     def full(self, max_connections: int) -> bool:
-        """Whether max_connections are open; those that linger count apart, and the oldest beyond
-        MAX_LINGERING are aborted."""
+        """Whether max_connections are open.
+
+        Those that linger count apart; the oldest of them beyond MAX_LINGERING are aborted.
+        """
         excess = len(self._connections) - max_connections - MAX_LINGERING
         for connection in list(self.lingering)[: max(0, excess + 1)]:
             connection.raw_transport.abort()
@@ -211,9 +211,11 @@
 
 
 class RefusedConnection(asyncio.Protocol):
-    """A connection beyond the limit: its request is answered 503 unread, up to MAX_LINGERING at a time; more
-    are closed at once. The answer waits for the first bytes: a client takes an earlier one for a protocol
-    error."""
+    """A connection beyond the limit: its request is answered 503 unread.
+
+    Up to MAX_LINGERING are answered at a time; more are closed at once. The answer waits for the first
+    bytes: a client would take an earlier one for a protocol error.
+    """
 
     active: set["RefusedConnection"] = set()
 
--- a/ryestack/wire/endpoint_connection.py
+++ b/ryestack/wire/endpoint_connection.py
@@ -166,8 +166,7 @@
             self.call.begun, self.call.connection = True, self
 
     def recall(self) -> bool:
-        """Reset the connection if the call's last byte is still in the write buffer; returns whether it
-        was."""
+        """Reset the connection if the call's last byte is still buffered; returns whether it was."""
         if self.transport is None or not self.transport.get_write_buffer_size():
             return False
         reset(self.raw_transport)
@@ -206,6 +205,7 @@
             self.discard()
 
     def head_received(self, head: bytes, rest: bytes, status: int) -> None:
+        """Parse a whole head and report it; rest: the bytes behind it."""
         self.head = self.message = None
         super().data_received(head)
         if self.message is None:  # the parser rejected it, and has closed the connection
--- a/ryestack/wire/files.py
+++ b/ryestack/wire/files.py
@@ -34,8 +34,7 @@
             self.pause_if_empty()
 
     def append(self, data: bytes) -> None:
-        """Append all of data, or raise OSError and leave the file as it was, so that no line is
-        incomplete."""
+        """Append all of data, or raise OSError and leave the file as it was: no line is incomplete."""
         with open(self.path, "a+b", buffering=0) as file:
             size = os.fstat(file.fileno()).st_size
             file.seek(max(0, size - 1))
--- a/ryestack/wire/members.py
+++ b/ryestack/wire/members.py
@@ -33,7 +33,7 @@
 REQUEST_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError, RecursionError, BadList)
 
 
-def read_list(message: dict, known: dict[str, dict]) -> tuple[int, interface.ListUpdate, dict[str, dict]]:
+def read_list(data: dict, known: dict[str, dict]) -> tuple[int, interface.ListUpdate, dict[str, dict]]:
     """The version, the update for the decision module, and the rows by name; raises BadList.
 
     A row may leave out fields that are known; one that cannot be read is skipped, so that the others still
@@ -41,11 +41,7 @@
     """
     rows, endpoints = {}, []
     try:
-        index, complete, entries = (
-            int(message["index"]),
-            message["snapshot"] is True,
-            list(message["endpoints"]),
-        )
+        index, complete, entries = int(data["index"]), data["snapshot"] is True, list(data["endpoints"])
     except INVALID_VALUE_ERRORS as error:
         raise BadList(f"{type(error).__name__}: {error}") from None
     for entry in entries:
@@ -63,9 +59,8 @@
 def read_row(row: dict) -> interface.Endpoint:
     """The endpoint of a row; raises one of INVALID_VALUE_ERRORS."""
     name, zone, kind = str(row["name"]), str(row["zone"]), str(row["type"])
-    listed = LISTED_BY_STATUS.get(
-        row["status"], interface.Listed.DRAINING
-    )  # unknown status: nothing new goes there
+    # Nothing new goes to an endpoint with an unknown status.
+    listed = LISTED_BY_STATUS.get(row["status"], interface.Listed.DRAINING)
     if not row["address"]:
         raise ValueError("no address")
     weight = float(row.get("weight", 1.0))
@@ -122,8 +117,7 @@
         return destination
 
     def drop_removed(self) -> set[str]:
-        """Drop the rows with status removed, once the decision module has received that; returns their
-        names."""
+        """Drop rows with status removed, once the decision module has received it; returns their names."""
         names, self.removed = self.removed, set()
         for name in names:
             destination = self.decrement_count(self.rows.pop(name))
@@ -132,8 +126,10 @@
         return names
 
     def has(self, destination: int) -> bool:
-        """Whether the destination is known. It outlives its endpoints for a while: they may be replaced all
-        at once."""
+        """Whether the destination is known.
+
+        It outlives its endpoints for a while: they are replaced one by one, or all at once.
+        """
         while (
             self.emptied_at and next(iter(self.emptied_at.values())) + EMPTY_DESTINATION_TTL_S <= self.clock()
         ):
@@ -164,8 +160,7 @@
         return self.initial_update
 
     async def fetch_initial(self) -> list[interface.ListUpdate]:
-        """The registry's current list, if it answers at once: it is in force before the first push of a
-        process."""
+        """The registry's current list, if it answers at once: it is in force before the first push."""
         try:
             query = {"from": str(self.members.index), "hold_ms": "0"}
             status, body = await self.platform.request(
--- a/ryestack/wire/server.py
+++ b/ryestack/wire/server.py
@@ -241,8 +241,7 @@
         return answer
 
     def finalized(self, request: web.BaseRequest, answer: web.Response) -> web.Response:
-        """The answer, marked as the connection's last at a drain, unless another request was read behind
-        it."""
+        """The answer, marked as the connection's last at a drain unless another request was read."""
         if self.last_answers and not request.protocol.has_read_more():
             answer.force_close()
         return answer
