--- a/ryestack/lab/policies/base.py
+++ b/ryestack/lab/policies/base.py
@@ -6,7 +6,7 @@
 from collections import deque
 from math import inf
 
-from ... import interface as it
+from ... import interface
 from ...brain import MAY_STILL_RUN, NEVER_RAN
 from ...interface import Effect, EndpointStatus, Result
 
@@ -18,7 +18,7 @@
 class Held:
     __slots__ = ("at", "id", "key", "maybe_at", "n", "out", "pushes", "state", "topic")
 
-    def __init__(self, n: it.Notification, topic: it.TopicType):
+    def __init__(self, n: interface.Notification, topic: interface.TopicType):
         self.n, self.id, self.topic = n, n.id, topic
         self.key = n.key if topic.keep_order else ""
         self.pushes, self.maybe_at, self.out, self.state, self.at = (
@@ -35,12 +35,12 @@
 
     TIMEOUT = 3.0  # seconds, of a push, once-only ones apart
 
-    def __init__(self, settings: it.Settings, seed: int):
+    def __init__(self, settings: interface.Settings, seed: int):
         self.set, self.random, self.now = settings, random.Random(seed), 0.0
         self.topics = {t.name: t for t in settings.topic_types}
         self.kinds = {k.name: k for k in settings.kinds}
         self.dests: dict[int, list[str]] = {}
-        self.listed: dict[str, it.Endpoint] = {}
+        self.listed: dict[str, interface.Endpoint] = {}
         self.waits: dict[object, float] = {}  # destination, or route where apart -> until
         self.held: dict[str, Held] = {}
         self.out: dict[tuple[str, int], tuple[Held, str, float]] = {}
@@ -68,15 +68,15 @@
         self.now, self.acts = now, []
         for event in events:
             kind = type(event)
-            if kind is it.Notification:
+            if kind is interface.Notification:
                 self.on_notification(event)
-            elif kind is it.Outcome:
+            elif kind is interface.Outcome:
                 self.on_outcome(event)
-            elif kind is it.ListUpdate:
+            elif kind is interface.ListUpdate:
                 self.on_list(event)
-            elif kind is it.ShuttingDown:
+            elif kind is interface.ShuttingDown:
                 self.leaves = event.until
-            elif kind is it.Withdrawn and event.id in self.held:
+            elif kind is interface.Withdrawn and event.id in self.held:
                 self.forget(self.held[event.id])
         while self.later and self.later[0][0] <= now:
             _, _, name = heapq.heappop(self.later)
@@ -92,10 +92,10 @@
         if self.later and self.later[0][0] < self.woken - 1e-9 or self.woken <= now:
             self.woken = self.later[0][0] if self.later else inf
             if self.woken < inf:
-                self.acts.append(it.SetTimer(max(0.0, self.woken - now)))
+                self.acts.append(interface.SetTimer(max(0.0, self.woken - now)))
         return self.acts
 
-    def on_list(self, update: it.ListUpdate) -> None:
+    def on_list(self, update: interface.ListUpdate) -> None:
         if update.whole:
             self.dests, self.listed = {}, {}
         for e in update.endpoints:
@@ -110,7 +110,7 @@
                 if e.id in row:
                     row.remove(e.id)
 
-    def on_notification(self, n: it.Notification) -> None:
+    def on_notification(self, n: interface.Notification) -> None:
         held = self.held[n.id] = Held(n, self.topics[n.topic_type])
         if held.key:
             self.keys.setdefault(held.key, deque()).append(held)
@@ -121,7 +121,7 @@
         self.ready.append(n.id)
         return None
 
-    def on_outcome(self, o: it.Outcome) -> None:
+    def on_outcome(self, o: interface.Outcome) -> None:
         if (o.id, o.push) not in self.out:
             return
         held, route, sent = self.out.pop((o.id, o.push))
@@ -203,7 +203,9 @@
     def push(self, held: Held, route: str) -> None:
         timeout = inf if held.topic.effect is Effect.ONCE_ONLY else self.TIMEOUT
         self.out[held.id, held.pushes] = held, route, self.now
-        self.acts.append(it.Push(held.id, route, min(timeout, max(0.01, held.n.due - MARGIN - self.now))))
+        self.acts.append(
+            interface.Push(held.id, route, min(timeout, max(0.01, held.n.due - MARGIN - self.now)))
+        )
         held.state, held.out, held.pushes = "out", held.out + 1, held.pushes + 1
         self.slots -= 1
         self.flying[route] = self.flying.get(route, 0) + 1
@@ -211,7 +213,7 @@
     def give_up(self, held: Held) -> None:
         effect = held.topic.effect
         harmless = held.maybe_at == inf and not held.out or effect is not Effect.ONCE_ONLY
-        self.acts.append(it.Throttle(held.id) if harmless else it.Expire(held.id))
+        self.acts.append(interface.Throttle(held.id) if harmless else interface.Expire(held.id))
         self.forget(held)
 
     def forget(self, held: Held) -> None:
--- a/ryestack/lab/sim/clients.py
+++ b/ryestack/lab/sim/clients.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from ... import interface as it
+from ... import interface
 from .relays import DOOR, Hand, Relay
 
 PICKS = 20  # draws of a relay that is not known as dead, before a client has to come again
@@ -60,10 +60,10 @@
                 return relay
         return None
 
-    def notification(self, hand: Hand) -> it.Notification:
+    def notification(self, hand: Hand) -> interface.Notification:
         """What a policy is told of a hand-in, with its history."""
         wish = hand.wish
-        return it.Notification(
+        return interface.Notification(
             hand.id,
             hand.due,
             int(self.world.arrivals.destination[wish]),
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from ... import interface as it
+from ... import interface
 from ..scenario import UNIT_FAULTS
 from .clients import tries_of
 from .faults import Struck, pick
@@ -81,7 +81,7 @@
             return
         if struck.fault.planned:
             relay.leaving = self.clock.now
-            relay.tell(it.ShuttingDown(self.clock.now + LEAVING))
+            relay.tell(interface.ShuttingDown(self.clock.now + LEAVING))
             self.clock.after(DOOR, self.world.clients.known_dead.add, relay.number)
             self.clock.after(LEAVING, self.kill, relay, relay.life, struck)
         else:
--- a/ryestack/lab/sim/layout.py
+++ b/ryestack/lab/sim/layout.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from ... import interface as it
+from ... import interface
 from ...interface import EndpointStatus
 from ..scenario import Group, Scenario
 from .faults import pick
@@ -47,10 +47,10 @@
         """Each once, in the order of the routes."""
         return list({route.unit.name: route.unit for route in routes}.values())
 
-    def entry(self, route: Route, dest: int) -> it.Endpoint:
+    def entry(self, route: Route, dest: int) -> interface.Endpoint:
         """What the registry tells of an endpoint now."""
         building, kind = f"b{route.building}", self.names[self.groups[dest]]
-        return it.Endpoint(route.id, building, kind, dest, LISTED[route.shown], self.told[dest])
+        return interface.Endpoint(route.id, building, kind, dest, LISTED[route.shown], self.told[dest])
 
     def add_route(self, dest: int, mark: str, unit: Unit, building: int, slots: int, depth: int) -> Route:
         group = self.group_of(dest)
--- a/ryestack/lab/sim/registry.py
+++ b/ryestack/lab/sim/registry.py
@@ -1,6 +1,6 @@
 """The registry of endpoints: replacements, drains, and the changes that each relay is told late."""
 
-from ... import interface as it
+from ... import interface
 from ...interface import EndpointStatus
 from .faults import pick
 from .partners import Route
@@ -17,7 +17,7 @@
         self.world, self.day, self.clock = world, world.day, world.clock
         self.more_lag = 0.0
 
-    def whole(self) -> dict[str, it.Endpoint]:
+    def whole(self) -> dict[str, interface.Endpoint]:
         """The list as it stands, by endpoint's id."""
         layout = self.world.layout
         rows = ((r, dest) for dest, routes in enumerate(layout.dest_routes) for r in routes)
@@ -55,10 +55,10 @@
             lag = pick(self.day.directory.lag, self.world.lags) + self.more_lag
             self.clock.after(lag, self.tell, relay, entry)
 
-    def tell(self, relay: Relay, entry: it.Endpoint) -> None:
+    def tell(self, relay: Relay, entry: interface.Endpoint) -> None:
         relay.list = {**relay.list, entry.id: entry}
         if entry.status is EndpointStatus.GONE:
             del relay.list[entry.id]
         if relay.up:
             self.world.judge.listed(relay, entry.id, entry.status is EndpointStatus.READY, self.clock.now)
-            relay.tell(it.ListUpdate((entry,)))
+            relay.tell(interface.ListUpdate((entry,)))
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -7,11 +7,11 @@
 from math import inf
 from time import perf_counter
 
-from ... import interface as it
+from ... import interface
 from ...brain import NEVER_RAN
 from ...interface import Result
 
-WOKEN = it.TimerFired()
+WOKEN = interface.TimerFired()
 MAY_STILL_RUN = {Result.TIMED_OUT, Result.BROKEN, Result.CANCELLED}
 LEAVING, DOOR = 3.2, 0.45  # seconds from the word to leave to the end, and until no more is taken
 
@@ -34,7 +34,7 @@
 
 
 class Relay:
-    def __init__(self, world, number: int, building: int, settings: it.Settings, policy, seed: int):
+    def __init__(self, world, number: int, building: int, settings: interface.Settings, policy, seed: int):
         self.world, self.number, self.building = world, number, building
         self.settings, self.make, self.seed = settings, policy, seed
         self.up, self.leaving, self.life, self.ready_at = True, False, 0, 0.0
@@ -55,7 +55,7 @@
         if hasattr(self.brain, "see"):
             self.brain.see(self.world, self)
         self.held = {hand.id: hand for hand in recovered}
-        events = [it.ListUpdate(tuple(self.list.values()), whole=True)]
+        events = [interface.ListUpdate(tuple(self.list.values()), whole=True)]
         for hand in recovered:
             hand.maybe_at, hand.open = hand.first_maybe(), {}
             events.append(self.world.clients.notification(hand))
@@ -104,7 +104,7 @@
                 fresh[event.id] = event
                 heard.append(self.world.clients.notification(event))
             else:
-                if kind is it.Outcome:
+                if kind is interface.Outcome:
                     self.before_outcome(event, now)
                 heard.append(event)
         self.do(heard, self.think(heard), fresh)
@@ -115,7 +115,7 @@
         self.inside += perf_counter() - began
         return actions
 
-    def before_outcome(self, o: it.Outcome, now: float) -> None:
+    def before_outcome(self, o: interface.Outcome, now: float) -> None:
         """The history, as the ledger has it, and what the judge must know of the relay's knowledge."""
         hand, judge = self.held.get(o.id), self.world.judge
         unit = self.world.layout.routes[o.endpoint].unit
@@ -139,15 +139,15 @@
         ends, cancels, pushes, wakes = [], [], [], []
         for action in actions:
             kind = type(action)
-            if kind is it.Push:
+            if kind is interface.Push:
                 pushes.append(action)
-            elif kind is it.SetTimer:
+            elif kind is interface.SetTimer:
                 wakes.append(action)
-            elif kind is it.Cancel:
+            elif kind is interface.Cancel:
                 cancels.append(action)
-            elif kind is it.CloseIdleConnections:
+            elif kind is interface.CloseIdleConnections:
                 world.network.close_idle(self, action.endpoint)
-            elif kind not in (it.AskForList, it.CancelUnsent):
+            elif kind not in (interface.AskForList, interface.CancelUnsent):
                 ends.append(action)
         fleet = world.day.fleet
         cost = fleet.cpu_round + fleet.cpu_event * (len(heard) + len(pushes))
@@ -171,11 +171,11 @@
             world.clock.after(action.after, self.wake, self.life)
 
     def end(self, hand: Hand, action, now: float) -> None:
-        throttled = type(action) is it.Throttle
+        throttled = type(action) is interface.Throttle
         self.world.judge.ended(hand, "throttled" if throttled else "expired", now)
         self.world.clients.given_up(hand, throttled, action.retry_after if throttled else 0.0)
 
-    def push(self, pushes: list[it.Push], gone: set, now: float, cost: float) -> None:
+    def push(self, pushes: list[interface.Push], gone: set, now: float, cost: float) -> None:
         """Those of one round to one endpoint travel together, as many as it takes."""
         calls: dict[str, list] = {}
         for p in pushes:
@@ -183,12 +183,12 @@
             if hand is None:
                 if p.id in gone:
                     self.world.judge.fault(1, now, p.id, "pushed in the round that ended it")
-                self.tell(it.Outcome(p.id, 0, p.endpoint, Result.NOT_SENT, ended=True))
+                self.tell(interface.Outcome(p.id, 0, p.endpoint, Result.NOT_SENT, ended=True))
                 continue
             number = hand.pushes
             hand.pushes += 1
             if number >= self.settings.max_pushes:
-                self.tell(it.Outcome(p.id, number, p.endpoint, Result.NOT_SENT))
+                self.tell(interface.Outcome(p.id, number, p.endpoint, Result.NOT_SENT))
                 continue
             calls.setdefault(p.endpoint, []).append((hand, number, p.timeout))
         for endpoint, items in calls.items():
@@ -200,7 +200,7 @@
     def start_call(self, route, items: list, now: float, cost: float) -> None:
         if self.slots <= 0:
             for hand, number, _ in items:
-                self.tell(it.Outcome(hand.id, number, route.id, Result.NOT_SENT))
+                self.tell(interface.Outcome(hand.id, number, route.id, Result.NOT_SENT))
             return
         self.slots -= 1
         for hand, number, _ in items:
@@ -227,7 +227,7 @@
         if now < call.stands:
             result = Result.NO_CONNECTION
         self.leave(call)
-        self.tell(it.Outcome(name, push, call.route.id, result, now - call.sent))
+        self.tell(interface.Outcome(name, push, call.route.id, result, now - call.sent))
 
     def leave(self, call) -> None:
         """One of a call's items has its outcome; with the last one its slot is free."""
@@ -243,6 +243,8 @@
             if self.out.pop((hand.id, number), None) is not None:
                 call.open -= 1
                 told = True
-                self.tell(it.Outcome(hand.id, number, route, result, now - call.sent, False, wait, limit))
+                self.tell(
+                    interface.Outcome(hand.id, number, route, result, now - call.sent, False, wait, limit)
+                )
         if told and not call.open:
             self.slots += 1
--- a/ryestack/lab/sim/settings.py
+++ b/ryestack/lab/sim/settings.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from ... import interface as it
+from ... import interface
 from ..scenario import Scenario
 from .layout import Layout
 
@@ -12,15 +12,15 @@
 HOLDS = 10.0  # seconds of a relay's part, where it leaves the hold open
 
 
-def settings_of(day: Scenario, layout: Layout) -> it.Settings:
+def settings_of(day: Scenario, layout: Layout) -> interface.Settings:
     fleet = day.fleet
     part = day.traffic.rate / fleet.relays
     busy = part * float(np.dot(layout.shares, layout.paces))
-    return it.Settings(
+    return interface.Settings(
         topic_types=_topic_types(day),
         customers=_customers(day),
-        kinds=tuple(it.Kind(g.name, g.apart, g.batch) for g in day.group),
-        rules=it.Rules(
+        kinds=tuple(interface.Kind(g.name, g.apart, g.batch) for g in day.group),
+        rules=interface.Rules(
             cold_share=min(least(g.cold.share) for g in day.group),
             cold_time=max(most(g.cold.time) for g in day.group),
             overload_factor=day.rules.factor,
@@ -31,7 +31,7 @@
         max_open=fleet.hold or max(10, ceil(HOLDS * part)),
         relays=fleet.relays,
         over_share_benefit=day.traffic.over_share,
-        late_benefit=it.LateBenefit(day.traffic.late),
+        late_benefit=interface.LateBenefit(day.traffic.late),
         list_has_rates=day.directory.told_rates,
         rough_rates=any(g.rough > 0.0 for g in day.group),
         max_pushes=fleet.max_pushes,
@@ -43,11 +43,11 @@
     )
 
 
-def _topic_types(day: Scenario) -> tuple[it.TopicType, ...]:
+def _topic_types(day: Scenario) -> tuple[interface.TopicType, ...]:
     return tuple(
-        it.TopicType(
+        interface.TopicType(
             t.name,
-            it.Effect(t.effect),
+            interface.Effect(t.effect),
             t.objective,
             t.ttl,
             t.benefit,
@@ -60,11 +60,11 @@
     )
 
 
-def _customers(day: Scenario) -> tuple[it.Customer, ...]:
+def _customers(day: Scenario) -> tuple[interface.Customer, ...]:
     """Those with a quota; it is a part of their share of load 1."""
     whole = sum(c.share for c in day.customer)
     return tuple(
-        it.Customer(c.name, c.quota * c.share / whole * day.traffic.rate)
+        interface.Customer(c.name, c.quota * c.share / whole * day.traffic.rate)
         for c in day.customer
         if c.quota > 0.0
     )
--- a/tests/test_emulator_rules.py
+++ b/tests/test_emulator_rules.py
@@ -3,7 +3,7 @@
 import unittest
 from types import SimpleNamespace
 
-from ryestack import interface as it
+from ryestack import interface
 from ryestack.interface import Result
 from ryestack.lab import scenario as sc
 from ryestack.lab.judge import Judge
@@ -114,27 +114,27 @@
 class Policies(unittest.TestCase):
     def of(self, kind):
         made = kind(settings(), 1)
-        rows = tuple(it.Endpoint(r, "z", "shared", 7, rate=50.0) for r in "ab")
-        made.round(0.0, [it.ListUpdate(rows, whole=True)])
+        rows = tuple(interface.Endpoint(r, "z", "shared", 7, rate=50.0) for r in "ab")
+        made.round(0.0, [interface.ListUpdate(rows, whole=True)])
         return made
 
     def pushes(self, acts):
-        return [(a.id, a.endpoint) for a in acts if isinstance(a, it.Push)]
+        return [(a.id, a.endpoint) for a in acts if isinstance(a, interface.Push)]
 
     def test_what_may_not_run_again_ends_and_what_may_goes_on(self):
         made = self.of(RandomRoute)
         first = self.pushes(made.round(1.0, [take("n", "once"), take("m")]))
         self.assertEqual({name for name, _ in first}, {"n", "m"})
-        broken = [it.Outcome(name, 0, route, Result.BROKEN) for name, route in first]
+        broken = [interface.Outcome(name, 0, route, Result.BROKEN) for name, route in first]
         acts = made.round(1.1, broken)
-        self.assertEqual([type(a) for a in acts if getattr(a, "id", "") == "n"], [it.Expire])
+        self.assertEqual([type(a) for a in acts if getattr(a, "id", "") == "n"], [interface.Expire])
         self.assertEqual([name for name, _ in self.pushes(acts)], ["m"])
 
     def test_waits_are_heeded_and_routes_taken_in_turn(self):
         made = self.of(RoundRobin)
         acts = made.round(1.0, [take("n"), take("m")])
         self.assertEqual([route for _, route in self.pushes(acts)], ["a", "b"])
-        made.round(1.1, [it.Outcome("n", 0, "a", Result.FULL, wait=2.0)])
+        made.round(1.1, [interface.Outcome("n", 0, "a", Result.FULL, wait=2.0)])
         self.assertEqual(self.pushes(made.round(2.0, [take("o")])), [])
         self.assertTrue(self.pushes(made.round(3.5, [])))
 
@@ -145,7 +145,7 @@
             for name, route in self.pushes(acts):
                 pushed += 1
                 number = made.held[name].pushes - 1
-                made.round(1.01 + i, [it.Outcome(name, number, route, Result.ERROR)])
+                made.round(1.01 + i, [interface.Outcome(name, number, route, Result.ERROR)])
         self.assertLess(pushed, 40 + 16)
 
     def test_a_revision_of_the_module_is_a_policy_and_an_unknown_one_is_told(self):
