--- a/benchmarks/loops.py
+++ b/benchmarks/loops.py
@@ -22,7 +22,7 @@
 
     def arrive(left: int) -> None:
         if left:
-            clock.after(chance.expovariate(LOAD), arrive, left - 1)
+            clock.call_later(chance.expovariate(LOAD), arrive, left - 1)
         waiting.append(clock.now)
         if not busy[0]:
             begin()
@@ -30,14 +30,14 @@
     def begin() -> None:
         busy[0] = True
         waits[0] += clock.now - waiting.pop(0)
-        clock.after(chance.expovariate(1.0), end)
+        clock.call_later(chance.expovariate(1.0), end)
 
     def end() -> None:
         busy[0] = False
         if waiting:
             begin()
 
-    clock.after(0.0, arrive, COUNT - 1)
+    clock.call_later(0.0, arrive, COUNT - 1)
     clock.run(1e12)
     return waits[0] / COUNT
 
--- a/ryestack/lab/hunt.py
+++ b/ryestack/lab/hunt.py
@@ -11,7 +11,7 @@
 from .runner import bare, copy_of, play, rules_broken
 from .scenario import Scenario, TimelineFault
 from .sim import faults
-from .sim.chance import Chance
+from .sim.random_streams import RandomStreams
 
 KEEP = 0.7  # of what was lost must a smaller day still lose
 ROUNDS = 12  # of cutting down at most, each over all that may go
@@ -41,7 +41,7 @@
 
     What a fault strikes is drawn anew under its own name, so the days are alike and not the same.
     """
-    gen = Chance(seed).of("faults")
+    gen = RandomStreams(seed).of("faults")
     least, most = day.random.faults
     drawn = [faults._drawn(day, gen) for _ in range(int(gen.integers(least, most + 1)))]
     return copy_of(day, fault=[*day.fault, *drawn], random=msgspec.structs.replace(day.random, faults=[0, 0]))
--- a/ryestack/lab/judge.py
+++ b/ryestack/lab/judge.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class RuleViolation:
     """rule: 1 to 6; id: the hand-in, or the destination; what: in words."""
 
     rule: int
@@ -31,8 +31,8 @@
 
     def __init__(self, topics, rules, trace=()):
         self.topics, self.rules, self.trace = topics, rules, set(trace)
-        self.lines: list[str] = []
-        self.broken: list[Broken] = []
+        self.trace_lines: list[str] = []
+        self.violations: list[RuleViolation] = []
         self.counts = dict.fromkeys(range(1, 7), 0)
         self.late_again = (
             0  # collapsible ones that were pushed in their window and ran past it: the partner was slow
@@ -44,12 +44,12 @@
 
     def fault(self, rule: int, now: float, name: str, what: str) -> None:
         self.counts[rule] += 1
-        if len(self.broken) < self.MOST:
-            self.broken.append(Broken(rule, now, name, what))
+        if len(self.violations) < self.MOST:
+            self.violations.append(RuleViolation(rule, now, name, what))
 
     def note(self, now: float, name: str, what: str) -> None:
         if name in self.trace:
-            self.lines.append(f"{now:10.4f} {name}: {what}")
+            self.trace_lines.append(f"{now:10.4f} {name}: {what}")
 
     # -- the life of a hand-in ----------------------------------------------------------------------
 
--- a/ryestack/lab/runner.py
+++ b/ryestack/lab/runner.py
@@ -130,9 +130,9 @@
         if collects:
             gc.enable()
     wall = time.perf_counter() - began
-    inside = sum(r.inside for r in world.relays)
+    inside = sum(r.policy_seconds for r in world.relays)
     many = len(world.arrivals)
-    waits = np.array(world.accounts.times) if world.accounts.times else np.zeros(0)
+    waits = np.array(world.accounts.delivery_times) if world.accounts.delivery_times else np.zeros(0)
     quantiles = np.quantile(waits, PARTS).tolist() if len(waits) else [None] * len(PARTS)
     summary = {
         "scenario": day.name,
@@ -144,19 +144,19 @@
         **world.measured.counts,
         "late_again": world.judge.late_again,
         "rules": {str(rule): count for rule, count in world.judge.counts.items()},
-        "broken": [f"rule {b.rule} at {b.at:.3f}, {b.id}: {b.what}" for b in world.judge.broken[:20]],
+        "broken": [f"rule {b.rule} at {b.at:.3f}, {b.id}: {b.what}" for b in world.judge.violations[:20]],
         "faults": [f"{s.kind} at {s.at:.1f} for {s.span:.1f}" for s in world.plan],
         **{f"p{p * 100:g}": q for p, q in zip(PARTS, quantiles, strict=True)},
         "wall": {"seconds": wall, "inside": inside},
     }
     series = {name: values for name, values in world.measured.series.items()}
     heat = np.divide(
-        world.measured.heat_done,
-        world.measured.heat_asked,
-        where=world.measured.heat_asked > 0,
-        out=np.full(world.measured.heat_asked.shape, np.nan),
+        world.measured.heat_delivered,
+        world.measured.heat_submitted,
+        where=world.measured.heat_submitted > 0,
+        out=np.full(world.measured.heat_submitted.shape, np.nan),
     )
-    return Day(summary, series, heat, waits, world.plan, list(world.judge.lines))
+    return Day(summary, series, heat, waits, world.plan, list(world.judge.trace_lines))
 
 
 def bare(summary: dict) -> dict:
--- a/ryestack/lab/sim/accounts.py
+++ b/ryestack/lab/sim/accounts.py
@@ -24,7 +24,7 @@
             arrivals.at.tolist(),
         )
         self.done = [False] * len(arrivals)
-        self.times: list[float] = []  # seconds from arrival to delivery, of those delivered
+        self.delivery_times: list[float] = []  # seconds from arrival to delivery, of those delivered
 
     def part(self, topic: int, gone: float) -> float:
         """What is left of a topic type's benefit after so many seconds."""
@@ -43,7 +43,7 @@
             return False
         self.done[wish] = True
         topic, gone = self.topic[wish], now - self.at[wish]
-        self.times.append(gone)
+        self.delivery_times.append(gone)
         part = self.part(topic, gone)
         self.gained[self.second[wish], topic, self.customer[wish]] += self.worth[wish] * part
         return part > 0.0
--- a/ryestack/lab/sim/clients.py
+++ b/ryestack/lab/sim/clients.py
@@ -19,12 +19,12 @@
 
     def start(self) -> None:
         if len(self.world.arrivals):
-            self.clock.at(float(self.world.arrivals.at[0]), self.arrive, 0)
+            self.clock.call_at(float(self.world.arrivals.at[0]), self.arrive, 0)
 
     def arrive(self, wish: int) -> None:
         arrivals = self.world.arrivals
         if wish + 1 < len(arrivals):
-            self.clock.at(float(arrivals.at[wish + 1]), self.arrive, wish + 1)
+            self.clock.call_at(float(arrivals.at[wish + 1]), self.arrive, wish + 1)
         self.world.measured.asked(arrivals.destination[wish], self.clock.now)
         self.hand_in(wish, 0)
 
@@ -40,7 +40,7 @@
         relay = self.pick()
         if relay is None or not relay.up or (relay.leaving and now > relay.leaving + DOOR):
             self.world.measured.counts["dead_door"] += 1
-            self.clock.after(self.day.clients.patience, self.hand_in, wish, tries)
+            self.clock.call_later(self.day.clients.patience, self.hand_in, wish, tries)
             return
         key = int(self.world.arrivals.key[wish])
         hand = Hand(f"{wish}.{tries}", wish, topic, due, f"k{key}" if key >= 0 else "")
@@ -77,12 +77,12 @@
     def taken(self, hand: Hand) -> None:
         self.world.measured.counts["taken"] += 1
         self.world.judge.taken(hand, self.clock.now)
-        self.clock.at(hand.due + OVERDUE, self.look_for_end, hand)
+        self.clock.call_at(hand.due + OVERDUE, self.look_for_end, hand)
 
     def look_for_end(self, hand: Hand) -> None:
         again = self.world.judge.overdue(hand, self.clock.now)
         if again is not None:
-            self.clock.at(again, self.look_for_end, hand)
+            self.clock.call_at(again, self.look_for_end, hand)
 
     def turned_away(self, hand: Hand) -> None:
         """For want of room, before the policy saw it."""
@@ -107,7 +107,7 @@
         if back > 0.0 and uniform() < clients.honour:
             wait = max(wait, back)
         self.world.measured.counts["again"] += 1
-        self.clock.after(wait, self.hand_in, hand.wish, tries)
+        self.clock.call_later(wait, self.hand_in, hand.wish, tries)
 
 
 def tries_of(hand: Hand) -> int:
--- a/ryestack/lab/sim/clock.py
+++ b/ryestack/lab/sim/clock.py
@@ -12,12 +12,12 @@
     def __init__(self):
         self.now, self.heap, self.number = 0.0, [], 0
 
-    def at(self, when: float, what: Callable, *arguments) -> None:
+    def call_at(self, when: float, what: Callable, *arguments) -> None:
         """Call what(*arguments) at that time, or now if it is past."""
         self.number += 1
         heappush(self.heap, (when if when > self.now else self.now, self.number, what, arguments))
 
-    def after(self, seconds: float, what: Callable, *arguments) -> None:
+    def call_later(self, seconds: float, what: Callable, *arguments) -> None:
         self.number += 1
         heappush(self.heap, (self.now + seconds, self.number, what, arguments))
 
--- a/ryestack/lab/sim/faults.py
+++ b/ryestack/lab/sim/faults.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from ..scenario import UNIT_FAULTS, Scenario, TimelineFault
-from .chance import Chance
+from .random_streams import RandomStreams
 
 # What a drawn fault is like: kind -> (seconds it lasts, part of the traffic or of the relays, size).
 DRAWN = {
@@ -55,7 +55,7 @@
 
 
 def plan(
-    day: Scenario, shares: np.ndarray, groups: np.ndarray, buildings: np.ndarray, chance: Chance
+    day: Scenario, shares: np.ndarray, groups: np.ndarray, buildings: np.ndarray, chance: RandomStreams
 ) -> list[Struck]:
     """All faults of a day, by time.
 
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -20,7 +20,7 @@
 
     def start(self) -> None:
         for struck in self.world.plan:
-            self.clock.at(struck.at, self.begin, struck)
+            self.clock.call_at(struck.at, self.begin, struck)
 
     def begin(self, struck: Struck) -> None:
         if struck.kind in UNIT_FAULTS:
@@ -40,7 +40,7 @@
                 unit.strike(trouble, now)
                 if struck.kind == "refuse":
                     self.crash(unit)
-                self.clock.after(struck.span, self.mend, unit, trouble)
+                self.clock.call_later(struck.span, self.mend, unit, trouble)
 
     def mend(self, unit: Unit, trouble: Trouble) -> None:
         unit.mend(trouble, self.clock.now)
@@ -58,7 +58,7 @@
         trouble = Trouble("refuse")
         unit.strike(trouble, now)
         self.crash(unit)
-        self.clock.after(unit.cold.fall, self.mend, unit, trouble)
+        self.clock.call_later(unit.cold.fall, self.mend, unit, trouble)
 
     # -- relays -------------------------------------------------------------------------------------
 
@@ -74,7 +74,7 @@
         for i in range(steps):
             for number in struck.relays[i * batch : (i + 1) * batch]:
                 relay = self.world.relays[number]
-                self.clock.after(i * struck.span / steps, self.take_down, relay, struck)
+                self.clock.call_later(i * struck.span / steps, self.take_down, relay, struck)
 
     def take_down(self, relay: Relay, struck: Struck) -> None:
         if not relay.up or relay.leaving:
@@ -82,8 +82,8 @@
         if struck.fault.planned:
             relay.leaving = self.clock.now
             relay.tell(interface.ShuttingDown(self.clock.now + LEAVING))
-            self.clock.after(DOOR, self.world.clients.known_dead.add, relay.number)
-            self.clock.after(LEAVING, self.kill, relay, relay.life, struck)
+            self.clock.call_later(DOOR, self.world.clients.known_dead.add, relay.number)
+            self.clock.call_later(LEAVING, self.kill, relay, relay.life, struck)
         else:
             self.kill(relay, relay.life, struck)
 
@@ -94,12 +94,12 @@
         held = relay.die()
         clients, lags = self.world.clients, self.world.lags
         for hand in waiting:  # their clients heard nothing
-            self.clock.after(self.day.clients.patience, clients.hand_in, hand.wish, tries_of(hand))
+            self.clock.call_later(self.day.clients.patience, clients.hand_in, hand.wish, tries_of(hand))
         if not struck.fault.folder:
             self.orphan(held)
             held = []
-        self.clock.after(pick(self.day.fleet.notice, lags), self.notice, relay, relay.life)
-        self.clock.after(struck.down, self.restart, relay, held)
+        self.clock.call_later(pick(self.day.fleet.notice, lags), self.notice, relay, relay.life)
+        self.clock.call_later(struck.down, self.restart, relay, held)
 
     def orphan(self, held: list[Hand]) -> None:
         """Their relay has forgotten them: their clients come again, if a repeat can do no harm."""
@@ -108,7 +108,7 @@
                 continue  # it may have run: its client does not come again
             self.world.measured.counts["orphans"] += 1
             again, after = tries_of(hand) + ORPHANED, pick(self.day.clients.orphans, self.world.lags)
-            self.clock.after(after, self.world.clients.hand_in, hand.wish, again)
+            self.clock.call_later(after, self.world.clients.hand_in, hand.wish, again)
 
     def notice(self, relay: Relay, life: int) -> None:
         """The front has noticed that a relay is dead, if it still is."""
@@ -139,7 +139,7 @@
         weights = np.ones(len(self.world.relays))
         weights[struck.relays] = struck.size
         self.world.clients.weights = np.cumsum(weights)
-        self.clock.after(struck.span, setattr, self.world.clients, "weights", None)
+        self.clock.call_later(struck.span, setattr, self.world.clients, "weights", None)
 
     def cut(self, struck: Struck) -> None:
         """A part of the buildings is cut off from the relays of the others, and their relays from the
@@ -149,18 +149,18 @@
         relays = {r.number for r in self.world.relays if r.building in far} if many > 1 else set()
         cut = (relays, far)
         cuts.append(cut)
-        self.clock.after(struck.span, cuts.remove, cut)
+        self.clock.call_later(struck.span, cuts.remove, cut)
 
     def slow_handshakes(self, struck: Struck) -> None:
         self.world.network.handshake *= struck.size
-        self.clock.after(struck.span, self.usual_handshakes, struck.size)
+        self.clock.call_later(struck.span, self.usual_handshakes, struck.size)
 
     def usual_handshakes(self, size: float) -> None:
         self.world.network.handshake /= size
 
     def stale_list(self, struck: Struck) -> None:
         self.world.registry.more_lag += struck.size
-        self.clock.after(struck.span, self.fresh_list, struck.size)
+        self.clock.call_later(struck.span, self.fresh_list, struck.size)
 
     def fresh_list(self, size: float) -> None:
         self.world.registry.more_lag -= size
--- a/ryestack/lab/sim/measurements.py
+++ b/ryestack/lab/sim/measurements.py
@@ -39,8 +39,8 @@
         self.seconds = seconds
         self.counts = dict.fromkeys(COUNTS, 0)
         self.series = {name: np.zeros(seconds) for name in SERIES}
-        self.heat_asked = np.zeros((destinations, seconds), np.int32)
-        self.heat_done = np.zeros((destinations, seconds), np.int32)
+        self.heat_submitted = np.zeros((destinations, seconds), np.int32)
+        self.heat_delivered = np.zeros((destinations, seconds), np.int32)
 
     def add(self, series: str, now: float, count: int = 1) -> None:
         """What comes after the last second counts for it."""
@@ -48,11 +48,11 @@
 
     def asked(self, destination: int, now: float) -> None:
         self.series["handed"][int(now)] += 1
-        self.heat_asked[destination, int(now)] += 1
+        self.heat_submitted[destination, int(now)] += 1
 
     def delivered(self, destination: int, second_of_arrival: int, now: float) -> None:
         self.add("delivered", now)
-        self.heat_done[destination, second_of_arrival] += 1
+        self.heat_delivered[destination, second_of_arrival] += 1
 
     def sample(self, second: int, relays: list, endpoints: int) -> None:
         """How many pushes are out, notifications held, circuits open at that second."""
--- a/ryestack/lab/sim/network.py
+++ b/ryestack/lab/sim/network.py
@@ -37,7 +37,7 @@
         if not reused:
             self.connect(call, cut, now)
         elif not cut:
-            self.clock.after(call.trip, self.reach, call)
+            self.clock.call_later(call.trip, self.reach, call)
         return call
 
     def take_idle(self, relay: Relay, route: Route, now: float) -> bool:
@@ -63,14 +63,14 @@
                 self.fail_connection(call, net.connect_timeout)
             else:
                 call.stands = now + shake
-                self.clock.after(shake + call.trip, self.reach, call)
+                self.clock.call_later(shake + call.trip, self.reach, call)
 
     def is_full(self, route: Route, now: float) -> bool:
         return route.most_conns > 0 and route.open_conns(now, self.day.network.idle) >= route.most_conns
 
     def fail_connection(self, call: Call, after: float) -> None:
         call.stands = inf
-        self.clock.after(after, self.no_connection, call)
+        self.clock.call_later(after, self.no_connection, call)
 
     def no_connection(self, call: Call) -> None:
         if not call.given_up and call.relay.life == call.life:
@@ -85,7 +85,7 @@
         """Its relay waits for none of its items any more; the connection is closed."""
         call.given_up = True
         if call.state == "queued" and self.group_of(call).cancels == "queued":
-            self.clock.after(call.trip, call.route.drop, call)
+            self.clock.call_later(call.trip, call.route.drop, call)
 
     # -- at the endpoint ----------------------------------------------------------------------------
 
@@ -115,7 +115,7 @@
         elif met == "reset-before":
             self.reply(call, Result.BROKEN)
         elif met == "error":
-            self.clock.after(ERROR_TIME, self.reply, call, Result.ERROR)
+            self.clock.call_later(ERROR_TIME, self.reply, call, Result.ERROR)
         else:
             self.admit(call, topic, weight, met)
 
@@ -167,7 +167,7 @@
         if result is Result.FULL:
             self.world.measured.counts["refused"] += 1
             self.world.measured.add("refused", self.clock.now)
-        self.clock.after(call.trip, self.come_back, call, result, wait)
+        self.clock.call_later(call.trip, self.come_back, call, result, wait)
 
     def come_back(self, call: Call, result: Result, wait: float) -> None:
         relay, route = call.relay, call.route
--- a/ryestack/lab/sim/partners.py
+++ b/ryestack/lab/sim/partners.py
@@ -174,7 +174,7 @@
         self.running += 1
         call.state = "running"
         self.working.add(call)
-        self.clock.after(call.work / self.unit.share(self.clock.now), self.finish, call)
+        self.clock.call_later(call.work / self.unit.share(self.clock.now), self.finish, call)
 
     def finish(self, call: Call) -> None:
         if call.state != "running":  # the process died meanwhile
--- a/ryestack/lab/sim/chance.py
+++ b/ryestack/lab/sim/random_streams.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 
-class Chance:
+class RandomStreams:
     """Streams of one seed, a non-negative whole number."""
 
     def __init__(self, seed: int):
--- a/ryestack/lab/sim/registry.py
+++ b/ryestack/lab/sim/registry.py
@@ -28,7 +28,7 @@
         routes = self.world.layout.dest_routes
         rows = [(dest, r) for dest in destinations for r in routes[dest] if r.shown == "up"]
         for i, (dest, route) in enumerate(rows):
-            self.clock.after(i * span / max(1, len(rows)), self.drain, dest, route)
+            self.clock.call_later(i * span / max(1, len(rows)), self.drain, dest, route)
 
     def drain(self, dest: int, route: Route) -> None:
         if route.shown != "up":
@@ -40,7 +40,7 @@
         route.shown = "draining"
         self.change(route, dest)
         drains = DRAIN + self.day.rules.grace + most(self.day.directory.lag) + self.more_lag
-        self.clock.after(drains, self.gone, dest, route)
+        self.clock.call_later(drains, self.gone, dest, route)
 
     def gone(self, dest: int, route: Route) -> None:
         route.shown = "gone"
@@ -53,7 +53,7 @@
         entry = self.world.layout.entry(route, dest)
         for relay in self.world.relays:
             lag = pick(self.day.directory.lag, self.world.lags) + self.more_lag
-            self.clock.after(lag, self.tell, relay, entry)
+            self.clock.call_later(lag, self.tell, relay, entry)
 
     def tell(self, relay: Relay, entry: interface.Endpoint) -> None:
         relay.list = {**relay.list, entry.id: entry}
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -42,7 +42,7 @@
         self.held: dict[str, Hand] = {}
         self.out: dict[tuple[str, int], object] = {}  # (id, push) -> its call
         self.slots, self.list, self.brain = settings.slots, {}, None
-        self.inside = 0.0
+        self.policy_seconds = 0.0
 
     # -- a life -------------------------------------------------------------------------------------
 
@@ -79,7 +79,7 @@
         self.inbox.append(event)
         if not self.scheduled:
             self.scheduled = True
-            self.world.clock.at(max(self.free_at, self.paused_until), self.round, self.life)
+            self.world.clock.call_at(max(self.free_at, self.paused_until), self.round, self.life)
 
     def wake(self, life: int) -> None:
         if life == self.life and self.up:
@@ -90,7 +90,7 @@
             return
         now = self.world.clock.now
         if now < self.paused_until:
-            self.world.clock.at(self.paused_until, self.round, life)
+            self.world.clock.call_at(self.paused_until, self.round, life)
             return
         self.scheduled = False
         events, self.inbox = self.inbox, []
@@ -112,7 +112,7 @@
     def think(self, events: list) -> list:
         began = perf_counter()
         actions = self.brain.round(self.world.clock.now, events)
-        self.inside += perf_counter() - began
+        self.policy_seconds += perf_counter() - began
         return actions
 
     def before_outcome(self, o: interface.Outcome, now: float) -> None:
@@ -168,7 +168,7 @@
         if pushes:
             self.push(pushes, gone, now, cost)
         for action in wakes:
-            world.clock.after(action.after, self.wake, self.life)
+            world.clock.call_later(action.after, self.wake, self.life)
 
     def end(self, hand: Hand, action, now: float) -> None:
         throttled = type(action) is interface.Throttle
@@ -207,7 +207,7 @@
             hand.open[number] = now
             self.world.judge.pushed(hand, number, route, now)
         call = self.world.network.send(self, route, [(hand, number) for hand, number, _ in items], now, cost)
-        out, at = self.out, self.world.clock.at
+        out, at = self.out, self.world.clock.call_at
         for hand, number, timeout in items:
             out[hand.id, number] = call
             if timeout < inf:
--- a/ryestack/lab/sim/traffic.py
+++ b/ryestack/lab/sim/traffic.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from . import paces
-from .chance import Chance
+from .random_streams import RandomStreams
 
 BURST = 4.0  # seconds that a bursty day's high and low spells last on average
 WAVE = 20.0  # seconds of a wave
@@ -57,7 +57,9 @@
     return at[at < seconds]
 
 
-def draw(day, shares: np.ndarray, takes: np.ndarray, load: float, extra: list, chance: Chance) -> Arrivals:
+def draw(
+    day, shares: np.ndarray, takes: np.ndarray, load: float, extra: list, chance: RandomStreams
+) -> Arrivals:
     """A day's arrivals.
 
     day: the scenario; shares: of the traffic by destination, sum 1; takes: calls a second by destination,
--- a/ryestack/lab/sim/world.py
+++ b/ryestack/lab/sim/world.py
@@ -6,13 +6,13 @@
 from ..scenario import Scenario
 from . import faults, traffic
 from .accounts import Accounts
-from .chance import Chance, block
 from .clients import Clients
 from .clock import Clock
 from .injector import FaultInjector
 from .layout import Layout
 from .measurements import Measurements
 from .network import Network
+from .random_streams import RandomStreams, block
 from .registry import Registry
 from .relays import Relay
 from .settings import settings_of
@@ -29,7 +29,7 @@
     """
 
     def __init__(self, day: Scenario, seed: int, policy, trace=()):
-        self.day, self.seed, self.chance, self.clock = day, seed, Chance(seed), Clock()
+        self.day, self.seed, self.chance, self.clock = day, seed, RandomStreams(seed), Clock()
         self.judge = Judge(day.topic, day.rules, trace)
         self.uniform, self.lags = block(self.chance.of("calls").random), self.chance.of("front")
         self.network, self.registry = Network(self), Registry(self)
@@ -67,7 +67,7 @@
         self.injector.start()
         self.clients.start()
         for second in range(1, self.seconds):
-            self.clock.at(float(second), self.sample, second)
+            self.clock.call_at(float(second), self.sample, second)
         self.clock.run(float(self.seconds))
         return self
 
--- a/ryestack/lab/validity.py
+++ b/ryestack/lab/validity.py
@@ -13,9 +13,9 @@
 from scipy.stats import t as student
 
 from .sim import paces
-from .sim.chance import Chance
 from .sim.clock import Clock
 from .sim.partners import Call, Cold, Route, Unit
+from .sim.random_streams import RandomStreams
 
 LOADS = (0.5, 0.7, 0.85)
 LEVEL = 0.99  # of the intervals: twelve are looked at together
@@ -67,7 +67,7 @@
     shape: str, cv: float, servers: int, room: float, load: float, seed: int, count: int
 ) -> tuple[float, float]:
     """(mean wait in units of the mean service time, part turned away) at one endpoint."""
-    chance, clock = Chance(seed), Clock()
+    chance, clock = RandomStreams(seed), Clock()
     unit = Unit("u", 1.0, Cold(1.0, 0.0, 1.0, 1.0, 0.0))
     waits, lost = [], [0]
 
@@ -80,13 +80,13 @@
 
     def arrive(i: int) -> None:
         if i + 1 < count:
-            clock.at(float(at[i + 1]), arrive, i + 1)
+            clock.call_at(float(at[i + 1]), arrive, i + 1)
         call = Call(_Nobody, route, [], clock.now)
         call.work = float(work[i])
         if not route.arrive(call) and clock.now > WARM * at[-1]:
             lost[0] += 1
 
-    clock.at(float(at[0]), arrive, 0)
+    clock.call_at(float(at[0]), arrive, 0)
     clock.run(float(at[-1]) * 2.0)
     kept = [wait for sent, wait in waits if sent > WARM * at[-1]]
     return float(np.mean(kept)), lost[0] / (len(kept) + lost[0])
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -7,17 +7,17 @@
 
 from ryestack.lab import validity
 from ryestack.lab.sim import paces, traffic
-from ryestack.lab.sim.chance import Chance, block
 from ryestack.lab.sim.clock import Clock
 from ryestack.lab.sim.limits import Rate, Window
 from ryestack.lab.sim.partners import Call, Route, Trouble
+from ryestack.lab.sim.random_streams import RandomStreams, block
 
 from .emulated import day, unit
 
 
 class Chances(unittest.TestCase):
     def test_streams_by_name_do_not_shift_each_other(self):
-        one, two = Chance(5), Chance(5)
+        one, two = RandomStreams(5), RandomStreams(5)
         two.of("other").random(100)
         self.assertEqual(one.of("a", 1).random(3).tolist(), two.of("a", 1).random(3).tolist())
         self.assertNotEqual(one.of("a", 1).random(), one.of("a", 2).random())
@@ -25,7 +25,7 @@
         self.assertEqual(len({u() for _ in range(10)}), 10)
 
     def test_paces_have_mean_one_and_their_spread(self):
-        gen = Chance(3).of("p")
+        gen = RandomStreams(3).of("p")
         for shape, cv, wanted in (("exponential", 0, 1.0), ("lognormal", 0.8, 0.8), ("heavy", 0.6, 0.6)):
             drawn = paces.unit(shape, cv, [], gen, 400_000)
             self.assertAlmostEqual(drawn.mean(), 1.0, delta=0.01)
@@ -36,9 +36,9 @@
 
     def test_equal_times_go_in_the_order_asked_for_and_nothing_goes_back(self):
         clock, seen = Clock(), []
-        clock.at(2.0, seen.append, "c")
-        clock.at(1.0, seen.append, "a")
-        clock.at(1.0, lambda: clock.at(0.0, seen.append, "b"))
+        clock.call_at(2.0, seen.append, "c")
+        clock.call_at(1.0, seen.append, "a")
+        clock.call_at(1.0, lambda: clock.call_at(0.0, seen.append, "b"))
         clock.run(3.0)
         self.assertEqual((seen, clock.now), (["a", "b", "c"], 3.0))
 
@@ -51,7 +51,7 @@
             customer=[{"name": "x", "quota": 0.25}, {"name": "y"}],
         )  # fmt: skip
         shares = np.array([0.4, 0.3, 0.2, 0.1])
-        found = traffic.draw(made, shares, shares * 100, 0.5, [(50.0, 2, 500)], Chance(2))
+        found = traffic.draw(made, shares, shares * 100, 0.5, [(50.0, 2, 500)], RandomStreams(2))
         self.assertAlmostEqual(len(found) / 10_500, 1.0, delta=0.07)
         self.assertTrue(np.all(np.diff(found.at) >= 0.0))
         self.assertAlmostEqual((found.topic == 0).mean(), 0.75, delta=0.02)
@@ -64,7 +64,7 @@
 
     def test_every_shape_of_a_day_has_its_mean(self):
         for shape in ("steady", "bursty", "ramp", "wave"):
-            _, level = traffic.intensity(shape, 0.5, 4000.0, Chance(1).of(shape))
+            _, level = traffic.intensity(shape, 0.5, 4000.0, RandomStreams(1).of(shape))
             self.assertAlmostEqual(level.mean(), 1.0, delta=0.06)
 
 
--- a/tests/test_emulator_rules.py
+++ b/tests/test_emulator_rules.py
@@ -30,7 +30,7 @@
         return made
 
     def broke(self, *rules):
-        self.assertEqual([k for k, n in self.judge.counts.items() if n], list(rules), self.judge.broken)
+        self.assertEqual([k for k, n in self.judge.counts.items() if n], list(rules), self.judge.violations)
 
     def test_one_end_in_time_and_nothing_after(self):
         j = self.judge
@@ -107,7 +107,7 @@
         hand = self.hand()
         self.hand("2.0")
         self.judge.pushed(hand, 0, self.route, 1.0)
-        told = [line.split(": ")[1] for line in self.judge.lines]
+        told = [line.split(": ")[1] for line in self.judge.trace_lines]
         self.assertEqual(told, ["taken by relay 0, due 20.000", "push 0 to s"])
 
 
