--- a/ryestack/lab/judge.py
+++ b/ryestack/lab/judge.py
@@ -1,19 +1,19 @@
-"""The six rules as a judge of a simulated day. It sees the world's truth, and never what a policy holds.
+"""Checks the six rules on a simulated day. The judge sees the true state of the world, not that of a policy.
 
-Each broken rule is told with the hand-in that broke it; a second run of the same seed traces that one's life.
+Each violation names the submission that caused it; a second run of the same seed can trace that submission.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-LATE = 0.05  # seconds past its time in which an end still counts: a round may lie in between
-GRACE_AGAIN = 1.5  # seconds after a relay is ready again in which what it owes is not overdue
-SEEN = 2.0 / 3.0  # of a load that pushed a destination over: rule 4's clause
+TOLERANCE_S = 0.05  # past a deadline in which an answer still counts: a round may lie in between
+RESTART_GRACE_S = 1.5  # after a restart of a relay in which its answers are not overdue
+WITNESSED_SHARE = 2.0 / 3.0  # rule 4: share of the overload from relays that had seen the destination fail
 
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """rule: 1 to 6; id: the hand-in, or the destination; what: in words."""
+    """rule: 1 to 6; at: seconds; id: the submission or the destination; what: the description."""
 
     rule: int
     at: float
@@ -22,148 +22,162 @@
 
 
 class Judge:
-    """The world tells it what happens, as it happens.
+    """Receives the events of the world as they happen.
 
-    topics: the scenario's; rules: its figures; trace: ids whose lives are written down.
+    topics: those of the scenario; rules: its parameters of the rules; trace: ids of submissions to trace.
     """
 
-    MOST = 1000  # broken rules kept in words; all are counted
+    MAX_KEPT = 1000  # violations kept with a description; all are counted
 
     def __init__(self, topics, rules, trace=()):
         self.topics, self.rules, self.trace = topics, rules, set(trace)
         self.trace_lines: list[str] = []
         self.violations: list[RuleViolation] = []
         self.counts = dict.fromkeys(range(1, 7), 0)
-        self.late_again = (
-            0  # collapsible ones that were pushed in their window and ran past it: the partner was slow
-        )
-        self.drained: dict = {}  # (relay, endpoint) -> when it was told
+        self.late_again = 0  # collapsible: pushed within the window, ran after it as the partner was slow
+        self.drained: dict = {}  # (relay, endpoint) -> when the change reached the relay
         self.waits: dict = {}  # (relay, unit) -> until
-        self.turns: dict = {}  # (relay, key) -> hand-ins in order, of those not over
-        self.rests: dict = {}  # (relay, key) -> (until, the hand-in whose push may still run)
+        self.key_queues: dict = {}  # (relay, key) -> open submissions in order
+        self.key_rests: dict = {}  # (relay, key) -> (until, the submission whose push may still run)
 
-    def fault(self, rule: int, now: float, name: str, what: str) -> None:
+    def report(self, rule: int, now: float, name: str, what: str) -> None:
         self.counts[rule] += 1
-        if len(self.violations) < self.MOST:
+        if len(self.violations) < self.MAX_KEPT:
             self.violations.append(RuleViolation(rule, now, name, what))
 
-    def note(self, now: float, name: str, what: str) -> None:
+    def trace_event(self, now: float, name: str, what: str) -> None:
         if name in self.trace:
             self.trace_lines.append(f"{now:10.4f} {name}: {what}")
 
-    # -- the life of a hand-in ----------------------------------------------------------------------
+    # -- events of a submission ---------------------------------------------------------------------
 
-    def taken(self, hand, now: float) -> None:
+    def accepted(self, submission, now: float) -> None:
         if self.trace:
-            self.note(now, hand.id, f"taken by relay {hand.relay.number}, due {hand.due:.3f}")
-        if hand.order:
-            self.turns.setdefault((hand.relay.number, hand.order), deque()).append(hand)
+            self.trace_event(
+                now, submission.id, f"taken by relay {submission.relay.number}, due {submission.due:.3f}"
+            )
+        if submission.key:
+            self.key_queues.setdefault((submission.relay.number, submission.key), deque()).append(submission)
 
-    def pushed(self, hand, push: int, route, now: float) -> None:
-        """Its relay sends it, rightly or not."""
-        relay = hand.relay
+    def pushed(self, submission, push: int, route, now: float) -> None:
+        """Check a push that the relay sends."""
+        relay = submission.relay
         if self.trace:
-            self.note(now, hand.id, f"push {push} to {route.id}")
-        if hand.end:
-            self.fault(1, now, hand.id, f"pushed after its end, {hand.end}")
-        elif now > hand.due + LATE:
-            self.fault(1, now, hand.id, "pushed after its time was up")
-        told = self.drained.get((relay.number, route.id))
-        if told is not None and now > told + self.rules.grace + LATE:
-            self.fault(3, now, hand.id, f"pushed to {route.id}, told at {told:.3f} that it drains or is gone")
+            self.trace_event(now, submission.id, f"push {push} to {route.id}")
+        if submission.end:
+            self.report(1, now, submission.id, f"pushed after its final answer, {submission.end}")
+        elif now > submission.due + TOLERANCE_S:
+            self.report(1, now, submission.id, "pushed after its deadline")
+        drained_at = self.drained.get((relay.number, route.id))
+        if drained_at is not None and now > drained_at + self.rules.grace + TOLERANCE_S:
+            self.report(
+                3,
+                now,
+                submission.id,
+                f"pushed to {route.id}, reported draining or gone at {drained_at:.3f}",
+            )
         until = self.waits.get((relay.number, route.unit.name), 0.0)
         if now < until - 1e-6:
-            self.fault(6, now, hand.id, f"pushed to {route.id}, told to wait until {until:.3f}")
-        if hand.counted >= 0.0 and now > hand.counted + self.topics[hand.topic].window + LATE:
-            self.fault(
-                2, now, hand.id, f"collapsible: pushed again outside its window, it ran at {hand.counted:.3f}"
+            self.report(
+                6, now, submission.id, f"pushed to {route.id}, which requested a wait until {until:.3f}"
+            )
+        if (
+            submission.first_effect_at >= 0.0
+            and now > submission.first_effect_at + self.topics[submission.topic].window + TOLERANCE_S
+        ):
+            self.report(
+                2,
+                now,
+                submission.id,
+                f"collapsible: pushed again outside its window, ran at {submission.first_effect_at:.3f}",
             )
-        if hand.order:
-            self.in_turn(hand, now)
-
-    def in_turn(self, hand, now: float) -> None:
-        place = (hand.relay.number, hand.order)
-        turns = self.turns.get(place)
-        first = next((h for h in turns or () if not h.end or h.open), hand)
-        if first is not hand:
-            self.fault(5, now, hand.id, f"pushed while {first.id} of its key is not over")
-        until, whose = self.rests.get(place, (0.0, None))
-        if now < until - 1e-6 and whose is not hand:
-            self.fault(5, now, hand.id, f"pushed while its key rests until {until:.3f}")
-
-    def ran(self, hand, route, now: float) -> None:
-        """It took effect at an endpoint."""
+        if submission.key:
+            self.check_key_order(submission, now)
+
+    def check_key_order(self, submission, now: float) -> None:
+        """Rule 5: submissions of a key run one after the other."""
+        key = (submission.relay.number, submission.key)
+        queue = self.key_queues.get(key)
+        first = next((h for h in queue or () if not h.end or h.open), submission)
+        if first is not submission:
+            self.report(5, now, submission.id, f"pushed while {first.id} of the same key is open")
+        until, owner = self.key_rests.get(key, (0.0, None))
+        if now < until - 1e-6 and owner is not submission:
+            self.report(5, now, submission.id, f"pushed while its key rests until {until:.3f}")
+
+    def took_effect(self, submission, route, now: float) -> None:
+        """A submission took effect at an endpoint."""
         if self.trace:
-            self.note(now, hand.id, f"ran at {route.id}")
-        effect = self.topics[hand.topic].effect
-        hand.runs += 1
+            self.trace_event(now, submission.id, f"ran at {route.id}")
+        effect = self.topics[submission.topic].effect
+        submission.runs += 1
         if effect == "once-only":
-            if hand.runs > 1:
-                self.fault(2, now, hand.id, f"once-only, and it ran {hand.runs} times")
-            if hand.end == "throttled":
-                self.fault(2, now, hand.id, "once-only: it ran, and its client was told to come again")
+            if submission.runs > 1:
+                self.report(2, now, submission.id, f"once-only, and it ran {submission.runs} times")
+            if submission.end == "throttled":
+                self.report(2, now, submission.id, "once-only: it ran, and its client was told to retry")
         elif effect == "collapsible":
-            if hand.counted < 0.0:
-                hand.counted = now
-            elif now > hand.counted + self.topics[hand.topic].window:
+            if submission.first_effect_at < 0.0:
+                submission.first_effect_at = now
+            elif now > submission.first_effect_at + self.topics[submission.topic].window:
                 self.late_again += 1
 
-    def ended(self, hand, how: str, now: float) -> None:
-        """Its relay gives its final answer: delivered, throttled or expired."""
+    def answered(self, submission, how: str, now: float) -> None:
+        """The relay gives the final answer of a submission: delivered, throttled or expired."""
         if self.trace:
-            self.note(now, hand.id, how)
-        if hand.end:
-            self.fault(1, now, hand.id, f"a second end, {how} after {hand.end}")
+            self.trace_event(now, submission.id, how)
+        if submission.end:
+            self.report(1, now, submission.id, f"a second final answer, {how} after {submission.end}")
             return
-        hand.end = how
-        if now > hand.due + LATE and now > hand.relay.ready_at + GRACE_AGAIN:
-            self.fault(1, now, hand.id, f"{how} after its time was up")
-        if how == "throttled" and hand.runs and self.topics[hand.topic].effect == "once-only":
-            self.fault(2, now, hand.id, "once-only: it ran, and its client was told to come again")
-        if hand.order and (turns := self.turns.get((hand.relay.number, hand.order))):
-            while turns and turns[0].end and not turns[0].open:
-                turns.popleft()
-
-    def may_still_run(self, hand, now: float) -> None:
-        """A push ended without a word on whether it ran: its key rests."""
-        if hand.order:
-            self.rests[hand.relay.number, hand.order] = now + self.rules.key_rest, hand
-
-    def overdue(self, hand, now: float) -> float | None:
-        """Its time is up; when to look again, if its relay's restart gives it longer."""
-        if hand.end or hand.relay.forgot(hand):
+        submission.end = how
+        if now > submission.due + TOLERANCE_S and now > submission.relay.ready_at + RESTART_GRACE_S:
+            self.report(1, now, submission.id, f"{how} after its deadline")
+        if how == "throttled" and submission.runs and self.topics[submission.topic].effect == "once-only":
+            self.report(2, now, submission.id, "once-only: it ran, and its client was told to retry")
+        if submission.key and (queue := self.key_queues.get((submission.relay.number, submission.key))):
+            while queue and queue[0].end and not queue[0].open:
+                queue.popleft()
+
+    def may_still_run(self, submission, now: float) -> None:
+        """A push ended and may still run: its key rests."""
+        if submission.key:
+            self.key_rests[submission.relay.number, submission.key] = now + self.rules.key_rest, submission
+
+    def check_deadline(self, submission, now: float) -> float | None:
+        """Check for an answer after the deadline; returns when to check again if a restart extends it."""
+        if submission.end or submission.relay.has_lost(submission):
             return None
-        if not hand.relay.up:
+        if not submission.relay.up:
             return now + 0.5
-        if now <= hand.relay.ready_at + GRACE_AGAIN:
-            return hand.relay.ready_at + GRACE_AGAIN + LATE
-        self.fault(1, now, hand.id, "taken, and no end when its time was up")
+        if now <= submission.relay.ready_at + RESTART_GRACE_S:
+            return submission.relay.ready_at + RESTART_GRACE_S + TOLERANCE_S
+        self.report(1, now, submission.id, "accepted, and no final answer by its deadline")
         return None
 
-    # -- what relays are told -----------------------------------------------------------------------
+    # -- knowledge of relays ------------------------------------------------------------------------
 
-    def listed(self, relay, endpoint: str, up: bool, now: float) -> None:
+    def list_changed(self, relay, endpoint: str, up: bool, now: float) -> None:
         if up:
             self.drained.pop((relay.number, endpoint), None)
         else:
             self.drained.setdefault((relay.number, endpoint), now)
 
-    def wait(self, relay, unit, until: float) -> None:
-        place = (relay.number, unit.name)
-        self.waits[place] = max(until, self.waits.get(place, 0.0))
+    def wait_requested(self, relay, unit, until: float) -> None:
+        key = (relay.number, unit.name)
+        self.waits[key] = max(until, self.waits.get(key, 0.0))
 
     def restarted(self, relay) -> None:
-        """What it was told to wait, and its turns, ended with its process."""
-        for held in (self.waits, self.rests, self.turns):
-            for place in [p for p in held if p[0] == relay.number]:
-                del held[place]
+        """The waits and key order that a relay knew end with its process."""
+        for entries in (self.waits, self.key_rests, self.key_queues):
+            for key in [k for k in entries if k[0] == relay.number]:
+                del entries[key]
 
     # -- destinations -------------------------------------------------------------------------------
 
-    def fell(self, unit, recent: list, now: float) -> None:
-        """A cold unit was pushed over by these (time, relay, weight)."""
-        whole = sum(weight for _, _, weight in recent)
-        seen = sum(weight for _, relay, weight in recent if relay in unit.witnesses)
-        if seen >= SEEN * whole:
-            what = f"pushed over by {whole:.1f} calls, {seen:.1f} of relays that had seen it fail"
-            self.fault(4, now, unit.name, what)
+    def overloaded(self, unit, recent: list, now: float) -> None:
+        """Rule 4: a cold unit was overloaded by these calls (time, relay, weight)."""
+        total = sum(weight for _, _, weight in recent)
+        witnessed = sum(weight for _, relay, weight in recent if relay in unit.witnesses)
+        if witnessed >= WITNESSED_SHARE * total:
+            what = f"overloaded by {total:.1f} calls, {witnessed:.1f} from relays that had seen it fail"
+            self.report(4, now, unit.name, what)
--- a/ryestack/lab/policies/best.py
+++ b/ryestack/lab/policies/best.py
@@ -1,73 +1,86 @@
-"""The ceiling: a policy that sees the true state of all destinations, and all relays' calls on their way.
+"""The ceiling: a policy that sees the true state of all destinations and the calls in flight of all relays.
 
-It pushes only where the push will run, the most benefit a second of work first; it is not the best there
-could be (it does not look ahead in time), and a score past 1 beside it is possible.
+It pushes only where the push will run, those with the most benefit first. It does not look ahead in time, so
+it is not optimal, and another policy can score above 1 relative to it.
 """
 
 from ...interface import Result
 from .base import Held, Policy
 
-LOOK = 0.02  # seconds between looks where nothing may go
-QUEUED = 0.5  # of its slots that may wait at an endpoint, so that it never idles
-SAFE = 0.9  # of rule 4's budget
+RECHECK_S = 0.02  # between checks while nothing can be pushed
+QUEUED_SHARE = 0.5  # of its slots that may queue at an endpoint, so that it never idles
+COLD_BUDGET_SHARE = 0.9  # of rule 4's budget
 
 
 class Best(Policy):
     """The ceiling: it sees the true state of all destinations and pushes only what will run."""
 
-    TIMEOUT = 60.0  # what it sends will run; a time-out would only lose it
+    TIMEOUT = 60.0  # seconds; every push will run, and a timeout would only lose its result
 
-    def see(self, world, relay) -> None:
+    def observe(self, world, relay) -> None:
+        """Give the policy access to the true state of the world."""
         self.world, self.relay = world, relay
-        if not hasattr(world, "best_on_the_way"):
-            world.best_on_the_way = {}  # route -> pushes of all relays without an outcome
-        self.way = world.best_on_the_way
+        if not hasattr(world, "best_in_flight"):
+            world.best_in_flight = {}  # route -> pushes of all relays without an outcome
+        self.in_flight_everywhere = world.best_in_flight
 
     def serve(self) -> None:
-        self.ready = type(self.ready)(sorted(self.ready, key=self.worth))
+        self.ready = type(self.ready)(sorted(self.ready, key=self.priority))
         super().serve()
 
-    def worth(self, name: str):
+    def priority(self, name: str):
+        """Sort key: the most benefit first, then the earliest deadline."""
         held = self.held.get(name)
         if held is None:
             return (0.0, 0.0)
-        wish = int(name.partition(".")[0])
+        arrival = int(name.partition(".")[0])
         late = self.now > held.n.due - held.topic.ttl + held.topic.objective
-        return (-held.topic.benefit * self.world.arrivals.worth[wish] * (0.5 if late else 1.0), held.n.due)
+        return (
+            -held.topic.benefit * self.world.arrivals.benefit_factor[arrival] * (0.5 if late else 1.0),
+            held.n.due,
+        )
 
     def choose(self, held: Held, routes: list[str]) -> str | None:
         found = [r for r in routes if self.runs(held, r)]
-        return min(found, key=lambda r: self.way.get(r, 0) / self.world.layout.routes[r].slots, default=None)
+        return min(
+            found,
+            key=lambda r: self.in_flight_everywhere.get(r, 0) / self.world.layout.routes[r].slots,
+            default=None,
+        )
 
     def runs(self, held: Held, name: str) -> bool:
+        """Whether a push to a route would run at once or after a short time in its queue."""
         route, now = self.world.layout.routes[name], self.world.clock.now
-        unit, way = route.unit, self.way.get(name, 0)
-        if any(t.kind not in ("slow", "tail") for t in unit.troubles) or route.shown != "up":
+        unit, in_flight = route.unit, self.in_flight_everywhere.get(name, 0)
+        if any(fault.kind not in ("slow", "tail") for fault in unit.faults) or route.status != "up":
             return False
-        if self.world.network.cuts and self.world.network.cut(self.relay, route):
+        if self.world.network.partitions and self.world.network.is_partitioned(self.relay, route):
             return False
-        if way >= max(route.slots + 1.0, route.slots * (1.0 + QUEUED)):
+        if in_flight >= max(route.slots + 1.0, route.slots * (1.0 + QUEUED_SHARE)):
             return False
-        coming = sum(self.way.get(r.id, 0) for r in unit.routes) - sum(
+        coming = sum(self.in_flight_everywhere.get(r.id, 0) for r in unit.routes) - sum(
             r.running + len(r.queue) for r in unit.routes
         )
-        if unit.limit.room(now) - max(0, coming) < 1.0:
+        if unit.limit.available(now) - max(0, coming) < 1.0:
             return False
         if unit.is_cold(now):
-            window = unit.cold.window
-            recent = sum(w for at, _, w in unit.recent if at > now - window) + max(0, coming)
-            return recent + 1.0 <= SAFE * unit.cold.factor * unit.capacity * unit.share(now) * window
+            window = unit.warm_up.window
+            recent = sum(weight for time, _, weight in unit.recent if time > now - window) + max(0, coming)
+            return (
+                recent + 1.0
+                <= COLD_BUDGET_SHARE * unit.warm_up.factor * unit.capacity * unit.capacity_share(now) * window
+            )
         return True
 
     def push(self, held: Held, route: str) -> None:
         super().push(held, route)
-        self.way[route] = self.way.get(route, 0) + 1
+        self.in_flight_everywhere[route] = self.in_flight_everywhere.get(route, 0) + 1
 
     def heard(self, route: str, result: Result, elapsed: float, held: Held) -> None:
-        self.way[route] -= 1
+        self.in_flight_everywhere[route] -= 1
 
     def again(self, held: Held, result: Result) -> float:
-        return LOOK
+        return RECHECK_S
 
     def park(self, held: Held, wait: float) -> None:
-        super().park(held, min(wait, LOOK))
+        super().park(held, min(wait, RECHECK_S))
--- a/ryestack/lab/sim/__init__.py
+++ b/ryestack/lab/sim/__init__.py
@@ -1,5 +1,6 @@
-"""The emulated world: everything round the relays, in simulated time. Pure: no I/O, no clock but its own.
+"""The emulator: clients, network, destinations and registry around the relays, in simulated time.
 
-The relays run the real decision module through its interface; what happens to a call is decided here, and the
-judge reads that truth.
+Pure: no I/O and no clock but the simulated one. The relays run the real decision module through its
+interface.
+What happens to a call is decided here, and the judge reads this ground truth.
 """
--- a/ryestack/lab/sim/clock.py
+++ b/ryestack/lab/sim/clock.py
@@ -1,30 +1,34 @@
-"""Simulated time: a heap of what is due. Equal times go in the order in which they were asked for."""
+"""Simulated time: a heap of scheduled calls. Calls for the same time run in the order of scheduling."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 
 
 class Clock:
-    """now: seconds. A plain loop, for its speed: docs/design/lab.md has it beside SimPy."""
+    """An event loop in simulated time; now: seconds.
 
-    __slots__ = ("heap", "now", "number")
+    A plain heap for speed; docs/design/lab.md compares it with SimPy.
+    """
+
+    __slots__ = ("heap", "now", "sequence")
 
     def __init__(self):
-        self.now, self.heap, self.number = 0.0, [], 0
+        self.now, self.heap, self.sequence = 0.0, [], 0
 
-    def call_at(self, when: float, what: Callable, *arguments) -> None:
-        """Call what(*arguments) at that time, or now if it is past."""
-        self.number += 1
-        heappush(self.heap, (when if when > self.now else self.now, self.number, what, arguments))
+    def call_at(self, time: float, callback: Callable, *arguments) -> None:
+        """Call callback(*arguments) at that time, or now if it is in the past."""
+        self.sequence += 1
+        heappush(self.heap, (time if time > self.now else self.now, self.sequence, callback, arguments))
 
-    def call_later(self, seconds: float, what: Callable, *arguments) -> None:
-        self.number += 1
-        heappush(self.heap, (self.now + seconds, self.number, what, arguments))
+    def call_later(self, seconds: float, callback: Callable, *arguments) -> None:
+        """Call callback(*arguments) after so many seconds."""
+        self.sequence += 1
+        heappush(self.heap, (self.now + seconds, self.sequence, callback, arguments))
 
     def run(self, until: float) -> None:
-        """All that is due up to that time."""
+        """Run all calls that are due up to that time."""
         heap = self.heap
         while heap and heap[0][0] <= until:
-            self.now, _, what, arguments = heappop(heap)
-            what(*arguments)
+            self.now, _, callback, arguments = heappop(heap)
+            callback(*arguments)
         self.now = until
--- a/ryestack/lab/sim/faults.py
+++ b/ryestack/lab/sim/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a day: those on its timeline and those that its seed draws, each with what it strikes."""
+"""Faults of a day: those on its timeline and those drawn by its seed, each with the targets it hits."""
 
 from dataclasses import dataclass, field
 
@@ -7,8 +7,8 @@
 from ..scenario import UNIT_FAULTS, Scenario, TimelineFault
 from .random_streams import RandomStreams
 
-# What a drawn fault is like: kind -> (seconds it lasts, part of the traffic or of the relays, size).
-DRAWN = {
+# Ranges of a drawn fault: kind -> (duration in seconds, share of the traffic or of the relays, size).
+DRAWN_FAULT_RANGES = {
     "vanish": ((6.0, 18.0), (0.05, 0.3), (1.0, 1.0)),
     "refuse": ((6.0, 18.0), (0.05, 0.3), (1.0, 1.0)),
     "hang": ((6.0, 18.0), (0.05, 0.3), (1.0, 1.0)),
@@ -29,13 +29,21 @@
     "clump": ((1.0, 1.0), (0.02, 0.1), (3.0, 15.0)),
     "handshake": ((8.0, 20.0), (1.0, 1.0), (5.0, 40.0)),
 }
-CALLS = {"error": (0.5, 1.0), "lost": (0.3, 1.0), "reset-after": (0.2, 1.0), "reset-before": (0.3, 1.0)}
+DRAWN_CALL_SHARES = {
+    "error": (0.5, 1.0),
+    "lost": (0.3, 1.0),
+    "reset-after": (0.2, 1.0),
+    "reset-before": (0.3, 1.0),
+}
 
 
 @dataclass(slots=True)
-class Struck:
-    """A fault with all that was open in it drawn. destinations, relays: numbers; calls: the part that meets
-    it."""
+class ScheduledFault:
+    """A fault with every range of its specification resolved to a value.
+
+    destinations, relays: numbers of its targets; calls: share of the calls that it affects; spec: the fault
+    in the scenario.
+    """
 
     kind: str
     at: float
@@ -44,72 +52,75 @@
     size: float
     calls: float
     down: float
-    fault: TimelineFault
+    spec: TimelineFault
     destinations: list[int] = field(default_factory=list)
     relays: list[int] = field(default_factory=list)
 
 
-def pick(value, gen: np.random.Generator) -> float:
-    """A number, or one drawn evenly from its range."""
-    return float(gen.uniform(value[0], value[1])) if isinstance(value, list) else float(value)
+def draw_value(value, rng: np.random.Generator) -> float:
+    """The number itself, or one drawn uniformly from a range."""
+    return float(rng.uniform(value[0], value[1])) if isinstance(value, list) else float(value)
 
 
 def plan(
-    day: Scenario, shares: np.ndarray, groups: np.ndarray, buildings: np.ndarray, chance: RandomStreams
-) -> list[Struck]:
-    """All faults of a day, by time.
+    day: Scenario, shares: np.ndarray, groups: np.ndarray, buildings: np.ndarray, streams: RandomStreams
+) -> list[ScheduledFault]:
+    """All faults of a day, ordered by time.
 
-    shares, groups, buildings: by destination, of the traffic, the group's number, where most of it stands.
+    shares, groups, buildings: by destination, its share of the traffic, its group's number, its home
+    building.
     """
-    gen = chance.of("faults")
+    rng = streams.generator("faults")
     drawn = [
-        _drawn(day, gen) for _ in range(int(gen.integers(day.random.faults[0], day.random.faults[1] + 1)))
+        _draw_fault(day, rng)
+        for _ in range(int(rng.integers(day.random.faults[0], day.random.faults[1] + 1)))
     ]
     found = []
-    for number, fault in enumerate([*day.fault, *drawn]):
-        own = chance.of("fault", number, fault.kind)
-        part = pick(fault.part, own)
-        struck = Struck(
-            fault.kind, pick(fault.at, own), pick(fault.span, own), part, pick(fault.size, own),
-            pick(fault.calls, own), pick(fault.down, own), fault,
+    for number, spec in enumerate([*day.fault, *drawn]):
+        fault_rng = streams.generator("fault", number, spec.kind)
+        part = draw_value(spec.part, fault_rng)
+        scheduled = ScheduledFault(
+            spec.kind, draw_value(spec.at, fault_rng), draw_value(spec.span, fault_rng), part,
+            draw_value(spec.size, fault_rng), draw_value(spec.calls, fault_rng),
+            draw_value(spec.down, fault_rng), spec,
         )  # fmt: skip
-        if fault.kind in UNIT_FAULTS or fault.kind in ("clump", "replace"):
-            struck.destinations = fault.destinations or _strike(
-                day, fault, part, shares, groups, buildings, own
+        if spec.kind in UNIT_FAULTS or spec.kind in ("clump", "replace"):
+            scheduled.destinations = spec.destinations or _choose_destinations(
+                day, spec, part, shares, groups, buildings, fault_rng
             )
-        if fault.kind in ("kill", "roll", "pause", "skew"):
+        if spec.kind in ("kill", "roll", "pause", "skew"):
             count = max(1, round(part * day.fleet.relays))
-            struck.relays = own.permutation(day.fleet.relays)[:count].tolist()
-        found.append(struck)
+            scheduled.relays = fault_rng.permutation(day.fleet.relays)[:count].tolist()
+        found.append(scheduled)
     return sorted(found, key=lambda s: s.at)
 
 
-def _drawn(day: Scenario, gen: np.random.Generator) -> TimelineFault:
-    kind = day.random.kinds[int(gen.integers(len(day.random.kinds)))]
-    spans, parts, sizes = DRAWN[kind]
+def _draw_fault(day: Scenario, rng: np.random.Generator) -> TimelineFault:
+    kind = day.random.kinds[int(rng.integers(len(day.random.kinds)))]
+    spans, parts, sizes = DRAWN_FAULT_RANGES[kind]
     return TimelineFault(
         kind=kind,
-        at=float(gen.uniform(0.1, 0.6) * day.seconds),
-        span=float(min(gen.uniform(*spans), day.seconds * 0.5)),
-        part=float(gen.uniform(*parts)),
-        by=("any", "any", "building")[int(gen.integers(3))],
-        calls=float(gen.uniform(*CALLS.get(kind, (1.0, 1.0)))),
-        size=float(gen.uniform(*sizes)),
-        tells=bool(gen.integers(2)),
-        folder=bool(gen.integers(2)),
-        planned=bool(gen.integers(2)),
-        down=float(gen.uniform(0.2, 1.5)),
+        at=float(rng.uniform(0.1, 0.6) * day.seconds),
+        span=float(min(rng.uniform(*spans), day.seconds * 0.5)),
+        part=float(rng.uniform(*parts)),
+        by=("any", "any", "building")[int(rng.integers(3))],
+        calls=float(rng.uniform(*DRAWN_CALL_SHARES.get(kind, (1.0, 1.0)))),
+        size=float(rng.uniform(*sizes)),
+        tells=bool(rng.integers(2)),
+        folder=bool(rng.integers(2)),
+        planned=bool(rng.integers(2)),
+        down=float(rng.uniform(0.2, 1.5)),
     )
 
 
-def _strike(day, fault: TimelineFault, part: float, shares, groups, buildings, gen) -> list[int]:
-    """Destinations that get about that part of the traffic; one at least."""
-    order = gen.permutation(len(shares))
-    if fault.group:
-        number = [g.name for g in day.group].index(fault.group)
+def _choose_destinations(day, spec: TimelineFault, part: float, shares, groups, buildings, rng) -> list[int]:
+    """Destinations that together receive about that share of the traffic; at least one."""
+    order = rng.permutation(len(shares))
+    if spec.group:
+        number = [g.name for g in day.group].index(spec.group)
         order = order[groups[order] == number]
-    if fault.by != "any":
-        where = buildings if fault.by == "building" else groups
-        order = order[np.argsort(where[order] != where[order[0]], kind="stable")]
-    reached = np.cumsum(shares[order])
-    return order[: max(1, int(np.searchsorted(reached, part * shares.sum() + 1e-12)))].tolist()
+    if spec.by != "any":
+        location = buildings if spec.by == "building" else groups
+        order = order[np.argsort(location[order] != location[order[0]], kind="stable")]
+    cumulative_shares = np.cumsum(shares[order])
+    return order[: max(1, int(np.searchsorted(cumulative_shares, part * shares.sum() + 1e-12)))].tolist()
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a day's plan: on units, relays, links, the front and the list."""
+"""Injects the faults of a day's plan into units, relays, links, the load balancer and the endpoint list."""
 
 from math import ceil, inf
 
@@ -6,178 +6,192 @@
 
 from ... import interface
 from ..scenario import UNIT_FAULTS
-from .clients import tries_of
-from .faults import Struck, pick
-from .partners import Trouble, Unit
-from .relays import DOOR, LEAVING, Hand, Relay
+from .clients import attempt_of
+from .faults import ScheduledFault, draw_value
+from .partners import Unit, UnitFault
+from .relays import ACCEPT_WHILE_LEAVING_S, SHUTDOWN_TIME_S, Relay, Submission
 
-ORPHANED = 100  # added to the tries of a hand-in that its relay forgot: it comes again with an id of its own
+ORPHAN_ATTEMPT_OFFSET = 100  # added to the attempt number of a lost submission, so that its id differs
 
 
 class FaultInjector:
+    """Schedules and applies each fault of the plan, and ends it after its span."""
+
     def __init__(self, world):
         self.world, self.day, self.clock = world, world.day, world.clock
 
     def start(self) -> None:
-        for struck in self.world.plan:
-            self.clock.call_at(struck.at, self.begin, struck)
+        for fault in self.world.plan:
+            self.clock.call_at(fault.at, self.begin, fault)
 
-    def begin(self, struck: Struck) -> None:
-        if struck.kind in UNIT_FAULTS:
-            self.strike(struck)
+    def begin(self, fault: ScheduledFault) -> None:
+        if fault.kind in UNIT_FAULTS:
+            self.start_unit_fault(fault)
         else:
-            self.BEGIN[struck.kind](self, struck)
+            self.HANDLERS[fault.kind](self, fault)
 
     # -- units --------------------------------------------------------------------------------------
 
-    def strike(self, struck: Struck) -> None:
-        """At units, for a span. Where routes are apart an outage takes them all, as most do."""
+    def start_unit_fault(self, fault: ScheduledFault) -> None:
+        """Apply a fault to units for its span.
+
+        Where a destination has one unit per route, an outage hits all of them, as most real outages do.
+        """
         now, layout = self.clock.now, self.world.layout
-        until = now + struck.span if struck.kind == "shut" and struck.fault.tells else 0.0
-        for dest in struck.destinations:
+        until = now + fault.span if fault.kind == "shut" and fault.spec.tells else 0.0
+        for dest in fault.destinations:
             for unit in layout.units_of(layout.dest_routes[dest]):
-                trouble = Trouble(struck.kind, struck.calls, struck.size, struck.fault.topic, until)
-                unit.strike(trouble, now)
-                if struck.kind == "refuse":
-                    self.crash(unit)
-                self.clock.call_later(struck.span, self.mend, unit, trouble)
+                unit_fault = UnitFault(fault.kind, fault.calls, fault.size, fault.spec.topic, until)
+                unit.add_fault(unit_fault, now)
+                if fault.kind == "refuse":
+                    self.crash_endpoints(unit)
+                self.clock.call_later(fault.span, self.end_unit_fault, unit, unit_fault)
 
-    def mend(self, unit: Unit, trouble: Trouble) -> None:
-        unit.mend(trouble, self.clock.now)
+    def end_unit_fault(self, unit: Unit, unit_fault: UnitFault) -> None:
+        unit.remove_fault(unit_fault, self.clock.now)
 
-    def crash(self, unit: Unit) -> None:
-        """Its processes die: what they had is cut off, connections are reset."""
+    def crash_endpoints(self, unit: Unit) -> None:
+        """The processes of a unit die: their calls and connections are reset."""
         for route in unit.routes:
-            self.world.network.cut_off(route)
+            self.world.network.reset_calls(route)
 
-    def fall(self, unit: Unit, recent: list) -> None:
-        """A cold one got too much; recent: what came within the window."""
+    def overload(self, unit: Unit, recent: list) -> None:
+        """A cold unit received too much load and goes down; recent: its calls within the window."""
         now = self.clock.now
         self.world.measured.counts["falls"] += 1
-        self.world.judge.fell(unit, recent, now)
-        trouble = Trouble("refuse")
-        unit.strike(trouble, now)
-        self.crash(unit)
-        self.clock.call_later(unit.cold.fall, self.mend, unit, trouble)
+        self.world.judge.overloaded(unit, recent, now)
+        unit_fault = UnitFault("refuse")
+        unit.add_fault(unit_fault, now)
+        self.crash_endpoints(unit)
+        self.clock.call_later(unit.warm_up.fall, self.end_unit_fault, unit, unit_fault)
 
     # -- relays -------------------------------------------------------------------------------------
 
-    def kill_all(self, struck: Struck) -> None:
-        for number in struck.relays:
-            self.take_down(self.world.relays[number], struck)
+    def kill_all(self, fault: ScheduledFault) -> None:
+        for number in fault.relays:
+            self.stop_relay(self.world.relays[number], fault)
 
-    def roll(self, struck: Struck) -> None:
-        """Batch by batch, `size` of those struck in each, over the span."""
-        many = len(struck.relays)
-        batch = max(1, round(struck.size * many)) if struck.size <= 1.0 else int(struck.size)
-        steps = max(1, ceil(many / batch))
+    def roll(self, fault: ScheduledFault) -> None:
+        """Restart the relays in batches of `size` (a share if at most 1, else a number) over the span."""
+        count = len(fault.relays)
+        batch = max(1, round(fault.size * count)) if fault.size <= 1.0 else int(fault.size)
+        steps = max(1, ceil(count / batch))
         for i in range(steps):
-            for number in struck.relays[i * batch : (i + 1) * batch]:
+            for number in fault.relays[i * batch : (i + 1) * batch]:
                 relay = self.world.relays[number]
-                self.clock.call_later(i * struck.span / steps, self.take_down, relay, struck)
+                self.clock.call_later(i * fault.span / steps, self.stop_relay, relay, fault)
 
-    def take_down(self, relay: Relay, struck: Struck) -> None:
+    def stop_relay(self, relay: Relay, fault: ScheduledFault) -> None:
         if not relay.up or relay.leaving:
             return
-        if struck.fault.planned:
+        if fault.spec.planned:
             relay.leaving = self.clock.now
-            relay.tell(interface.ShuttingDown(self.clock.now + LEAVING))
-            self.clock.call_later(DOOR, self.world.clients.known_dead.add, relay.number)
-            self.clock.call_later(LEAVING, self.kill, relay, relay.life, struck)
+            relay.deliver(interface.ShuttingDown(self.clock.now + SHUTDOWN_TIME_S))
+            self.clock.call_later(ACCEPT_WHILE_LEAVING_S, self.world.clients.known_dead.add, relay.number)
+            self.clock.call_later(SHUTDOWN_TIME_S, self.kill, relay, relay.incarnation, fault)
         else:
-            self.kill(relay, relay.life, struck)
+            self.kill(relay, relay.incarnation, fault)
 
-    def kill(self, relay: Relay, life: int, struck: Struck) -> None:
-        if relay.life != life or not relay.up:
+    def kill(self, relay: Relay, incarnation: int, fault: ScheduledFault) -> None:
+        if relay.incarnation != incarnation or not relay.up:
             return
-        waiting = [e for e in relay.inbox if type(e) is Hand]
+        waiting = [event for event in relay.inbox if type(event) is Submission]
         held = relay.die()
         clients, lags = self.world.clients, self.world.lags
-        for hand in waiting:  # their clients heard nothing
-            self.clock.call_later(self.day.clients.patience, clients.hand_in, hand.wish, tries_of(hand))
-        if not struck.fault.folder:
-            self.orphan(held)
+        for submission in waiting:  # their clients received no answer
+            self.clock.call_later(
+                self.day.clients.patience, clients.submit, submission.arrival, attempt_of(submission)
+            )
+        if not fault.spec.folder:
+            self.resubmit_orphans(held)
             held = []
-        self.clock.call_later(pick(self.day.fleet.notice, lags), self.notice, relay, relay.life)
-        self.clock.call_later(struck.down, self.restart, relay, held)
-
-    def orphan(self, held: list[Hand]) -> None:
-        """Their relay has forgotten them: their clients come again, if a repeat can do no harm."""
-        for hand in held:
-            if hand.first_maybe() < inf and self.day.topic[hand.topic].effect == "once-only":
-                continue  # it may have run: its client does not come again
+        self.clock.call_later(
+            draw_value(self.day.fleet.notice, lags), self.mark_dead, relay, relay.incarnation
+        )
+        self.clock.call_later(fault.down, self.restart, relay, held)
+
+    def resubmit_orphans(self, held: list[Submission]) -> None:
+        """The relay has lost these submissions: their clients submit again where a repeat is harmless."""
+        for submission in held:
+            if (
+                submission.first_may_have_run_at() < inf
+                and self.day.topic[submission.topic].effect == "once-only"
+            ):
+                continue  # it may have run, so its client does not repeat it
             self.world.measured.counts["orphans"] += 1
-            again, after = tries_of(hand) + ORPHANED, pick(self.day.clients.orphans, self.world.lags)
-            self.clock.call_later(after, self.world.clients.hand_in, hand.wish, again)
-
-    def notice(self, relay: Relay, life: int) -> None:
-        """The front has noticed that a relay is dead, if it still is."""
-        if relay.life == life and not relay.up:
+            attempt, delay = (
+                attempt_of(submission) + ORPHAN_ATTEMPT_OFFSET,
+                draw_value(self.day.clients.orphans, self.world.lags),
+            )
+            self.clock.call_later(delay, self.world.clients.submit, submission.arrival, attempt)
+
+    def mark_dead(self, relay: Relay, incarnation: int) -> None:
+        """The load balancer detects that a relay is dead, unless it has been restarted since."""
+        if relay.incarnation == incarnation and not relay.up:
             self.world.clients.known_dead.add(relay.number)
 
-    def restart(self, relay: Relay, held: list[Hand]) -> None:
+    def restart(self, relay: Relay, held: list[Submission]) -> None:
         layout, judge = self.world.layout, self.world.judge
         judge.restarted(relay)
         for unit in layout.units_of(layout.routes.values()):
             unit.witnesses.discard(relay)
         self.world.clients.known_dead.discard(relay.number)
-        for hand in held:
-            if hand.order:
-                judge.taken(hand, self.clock.now)
+        for submission in held:
+            if submission.key:
+                judge.accepted(submission, self.clock.now)
         relay.start(held)
 
-    def pause(self, struck: Struck) -> None:
-        """Relays stand still; what comes meanwhile waits."""
-        for number in struck.relays:
+    def pause(self, fault: ScheduledFault) -> None:
+        """Suspend relays; their events wait meanwhile."""
+        for number in fault.relays:
             relay = self.world.relays[number]
-            relay.paused_until = max(relay.paused_until, self.clock.now + struck.span)
+            relay.paused_until = max(relay.paused_until, self.clock.now + fault.span)
 
-    # -- the front, links and the list --------------------------------------------------------------
+    # -- load balancer, links and endpoint list -----------------------------------------------------
 
-    def skew(self, struck: Struck) -> None:
-        """The front sends `size` times as much to those struck."""
+    def skew(self, fault: ScheduledFault) -> None:
+        """The load balancer sends `size` times as much traffic to some relays."""
         weights = np.ones(len(self.world.relays))
-        weights[struck.relays] = struck.size
-        self.world.clients.weights = np.cumsum(weights)
-        self.clock.call_later(struck.span, setattr, self.world.clients, "weights", None)
+        weights[fault.relays] = fault.size
+        self.world.clients.cumulative_weights = np.cumsum(weights)
+        self.clock.call_later(fault.span, setattr, self.world.clients, "cumulative_weights", None)
 
-    def cut(self, struck: Struck) -> None:
-        """A part of the buildings is cut off from the relays of the others, and their relays from the
-        rest."""
-        many, cuts = self.day.network.buildings, self.world.network.cuts
-        far = set(range(max(1, round(struck.part * many)))) if many > 1 else {0}
-        relays = {r.number for r in self.world.relays if r.building in far} if many > 1 else set()
-        cut = (relays, far)
-        cuts.append(cut)
-        self.clock.call_later(struck.span, cuts.remove, cut)
+    def partition(self, fault: ScheduledFault) -> None:
+        """Partition the network: some buildings and their relays are separated from all others."""
+        count, partitions = self.day.network.buildings, self.world.network.partitions
+        separated = set(range(max(1, round(fault.part * count)))) if count > 1 else {0}
+        relays = {r.number for r in self.world.relays if r.building in separated} if count > 1 else set()
+        partition = (relays, separated)
+        partitions.append(partition)
+        self.clock.call_later(fault.span, partitions.remove, partition)
 
-    def slow_handshakes(self, struck: Struck) -> None:
-        self.world.network.handshake *= struck.size
-        self.clock.call_later(struck.span, self.usual_handshakes, struck.size)
+    def slow_handshakes(self, fault: ScheduledFault) -> None:
+        self.world.network.handshake_factor *= fault.size
+        self.clock.call_later(fault.span, self.restore_handshakes, fault.size)
 
-    def usual_handshakes(self, size: float) -> None:
-        self.world.network.handshake /= size
+    def restore_handshakes(self, size: float) -> None:
+        self.world.network.handshake_factor /= size
 
-    def stale_list(self, struck: Struck) -> None:
-        self.world.registry.more_lag += struck.size
-        self.clock.call_later(struck.span, self.fresh_list, struck.size)
+    def delay_list(self, fault: ScheduledFault) -> None:
+        self.world.registry.extra_lag += fault.size
+        self.clock.call_later(fault.span, self.restore_list, fault.size)
 
-    def fresh_list(self, size: float) -> None:
-        self.world.registry.more_lag -= size
+    def restore_list(self, size: float) -> None:
+        self.world.registry.extra_lag -= size
 
-    def replace(self, struck: Struck) -> None:
-        self.world.registry.replace(struck.destinations, struck.span)
+    def replace(self, fault: ScheduledFault) -> None:
+        self.world.registry.replace(fault.destinations, fault.span)
 
-    def clump(self, struck: Struck) -> None:
-        """Its arrivals were drawn with the day's."""
+    def clump(self, fault: ScheduledFault) -> None:
+        """Nothing to do: the arrivals of a clump are drawn with those of the day."""
 
-    BEGIN = {
+    HANDLERS = {
         "kill": kill_all,
         "roll": roll,
         "pause": pause,
         "skew": skew,
-        "cut": cut,
-        "stale": stale_list,
+        "cut": partition,
+        "stale": delay_list,
         "replace": replace,
         "clump": clump,
         "handshake": slow_handshakes,
--- a/ryestack/lab/sim/measurements.py
+++ b/ryestack/lab/sim/measurements.py
@@ -1,4 +1,4 @@
-"""What is counted of a day: totals, series by second, and the heat map of destinations."""
+"""Measurements of a day: totals, series by second, and the heat map of destinations."""
 
 import numpy as np
 
@@ -29,11 +29,14 @@
     "held",
     "open",
 )
-MANY = 20_000  # relays times endpoints from which on open circuits are not counted: that is for plots only
+MAX_CIRCUIT_PAIRS = (
+    20_000  # relays times endpoints; above it open circuits, used by plots only, are not counted
+)
 
 
 class Measurements:
-    """counts: totals; series: arrays by second; heat_asked, heat_done: by destination and second it came."""
+    """counts: totals; series: arrays by second; heat_submitted, heat_delivered: by destination and second of
+    arrival."""
 
     def __init__(self, seconds: int, destinations: int):
         self.seconds = seconds
@@ -43,10 +46,10 @@
         self.heat_delivered = np.zeros((destinations, seconds), np.int32)
 
     def add(self, series: str, now: float, count: int = 1) -> None:
-        """What comes after the last second counts for it."""
+        """Add to a series; what happens after the last second counts for the last."""
         self.series[series][min(self.seconds - 1, int(now))] += count
 
-    def asked(self, destination: int, now: float) -> None:
+    def submitted(self, destination: int, now: float) -> None:
         self.series["handed"][int(now)] += 1
         self.heat_submitted[destination, int(now)] += 1
 
@@ -55,15 +58,15 @@
         self.heat_delivered[destination, second_of_arrival] += 1
 
     def sample(self, second: int, relays: list, endpoints: int) -> None:
-        """How many pushes are out, notifications held, circuits open at that second."""
-        self.series["out"][second] = sum(len(r.out) for r in relays)
+        """Record the pushes in flight, notifications held and circuits open at that second."""
+        self.series["out"][second] = sum(len(r.in_flight) for r in relays)
         self.series["held"][second] = sum(len(r.held) for r in relays)
-        if len(relays) * endpoints <= MANY:
+        if len(relays) * endpoints <= MAX_CIRCUIT_PAIRS:
             self.series["open"][second] += sum(map(_open_circuits, relays))
 
 
 def _open_circuits(relay) -> int:
-    known = getattr(relay.brain, "routes", None)
-    if not isinstance(known, dict):
+    routes = getattr(relay.brain, "routes", None)
+    if not isinstance(routes, dict):
         return 0
-    return sum(getattr(route, "state", "") in ("open", "trial") for route in known.values())
+    return sum(getattr(route, "state", "") in ("open", "trial") for route in routes.values())
--- a/ryestack/lab/sim/partners.py
+++ b/ryestack/lab/sim/partners.py
@@ -1,8 +1,8 @@
-"""Destinations as they are: units with a limit, outages and a warm-up, and their routes with slots and a
+"""The emulated destinations: units with a limit, outages and a warm-up, and their routes with slots and a
 queue.
 
-A unit is a destination whose endpoints share all, or one endpoint where they are routes apart. What goes
-wrong is a list of troubles at the unit, each met by a part of the calls; several at once compose.
+A unit is a destination whose endpoints share limit and outages, or a single endpoint where each has its own.
+A unit has a list of active faults, each of which affects a share of the calls; concurrent faults compose.
 """
 
 from collections import deque
@@ -11,18 +11,21 @@
 
 from .limits import NoLimit
 
-# What a call meets at an endpoint, the gravest first: the troubles that stop it are looked at in this order.
-STOPPING = ("vanish", "refuse", "hang", "shut", "reset-before", "error", "lost", "reset-after")
-OUTAGES = {"vanish", "refuse", "hang", "shut", "error", "reset-before"}  # where most calls meet one of these
-MOST = 0.5  # of the calls: from there on it counts as an outage
-SLACK = 2.0  # calls over rule 4's budget, for chance: a window may begin with two that came together
+# Faults that stop a call, the most severe first: they are checked in this order.
+BLOCKING_FAULTS = ("vanish", "refuse", "hang", "shut", "reset-before", "error", "lost", "reset-after")
+OUTAGE_FAULTS = {"vanish", "refuse", "hang", "shut", "error", "reset-before"}
+OUTAGE_CALL_SHARE = 0.5  # share of affected calls from which a fault counts as an outage
+BUDGET_SLACK_CALLS = 2.0  # above rule 4's budget: a window may begin with two simultaneous calls
 
 
 @dataclass(slots=True, eq=False)
-class Trouble:
-    """kind: one of STOPPING, or slow, tail; part: of the calls that meet it; size: how many times slower;
-    topic: the one that it strikes, "" for all; until: told as a wait where it is shut, 0 if it is not
-    told."""
+class UnitFault:
+    """A fault that is active at a unit.
+
+    kind: one of BLOCKING_FAULTS, or slow, tail; part: share of the calls that it affects; size: slowdown
+    factor; topic: the topic type that it affects, "" for all; until: when a shut unit reports to open, 0 if
+    it does not.
+    """
 
     kind: str
     part: float = 1.0
@@ -32,9 +35,9 @@
 
 
 @dataclass(slots=True)
-class Cold:
-    """How a unit comes back: at `share` of its capacity, in full after `time` seconds; sent more than
-    `factor` times what it can do, over `window` seconds, it falls for `fall` seconds."""
+class WarmUp:
+    """How a unit recovers: from `share` of its capacity to all of it in `time` seconds. If it receives more
+    than `factor` times its capacity over `window` seconds, it goes down for `fall` seconds."""
 
     share: float
     time: float
@@ -44,53 +47,73 @@
 
 
 class Call:
-    """One call on its way. items: (hand-in, push number); sent: when its relay's round sent it; fresh: on a
-    connection opened for it, which stands from `stands` on; work: seconds that it runs at full capacity;
-    fate: what becomes of it once it has run: "" (answered), lost or reset-after; state: out, queued, running,
-    ended."""
+    """A call with its items.
+
+    items: (submission, push number); sent: when the round of its relay sent it; new_connection: whether a
+    connection was opened for it, which is established at `connected_at`; pending: items without an outcome;
+    work: seconds that it runs at full capacity; reply_fault: what happens once it has run: "" (answered),
+    lost or reset-after; state: out, queued, running, ended.
+    """
 
     __slots__ = (
-        "fate", "fresh", "given_up", "items", "life", "open", "relay", "route", "sent", "stands", "state",
-        "trip", "work",
+        "abandoned", "connected_at", "incarnation", "items", "new_connection", "one_way_delay", "pending",
+        "relay", "reply_fault", "route", "sent", "state", "work",
     )  # fmt: skip
 
     def __init__(self, relay, route: "Route", items: list, sent: float):
-        self.relay, self.route, self.items, self.sent, self.life = relay, route, items, sent, relay.life
-        self.open, self.fresh, self.stands, self.trip, self.work = len(items), False, sent, 0.0, 0.0
-        self.state, self.given_up, self.fate = "out", False, ""
+        self.relay, self.route, self.items, self.sent, self.incarnation = (
+            relay,
+            route,
+            items,
+            sent,
+            relay.incarnation,
+        )
+        self.pending, self.new_connection, self.connected_at, self.one_way_delay, self.work = (
+            len(items),
+            False,
+            sent,
+            0.0,
+            0.0,
+        )
+        self.state, self.abandoned, self.reply_fault = "out", False, ""
 
 
 class Unit:
-    """What shares a limit, outages and a warm-up."""
+    """Endpoints that share a limit, outages and a warm-up; capacity: calls a second."""
 
-    def __init__(self, name: str, capacity: float, cold: Cold, limit=None, tells: float = 0.0):
-        self.name, self.capacity, self.cold, self.limit, self.tells = (
+    def __init__(
+        self, name: str, capacity: float, warm_up: WarmUp, limit=None, wait_probability: float = 0.0
+    ):
+        self.name, self.capacity, self.warm_up, self.limit, self.wait_probability = (
             name,
             capacity,
-            cold,
+            warm_up,
             limit or NoLimit(),
-            tells,
+            wait_probability,
         )
-        self.troubles: list[Trouble] = []
+        self.faults: list[UnitFault] = []
         self.out, self.cold_since, self.fallen_until = False, -inf, 0.0
-        self.witnesses: set = set()  # relays that saw a call fail or be refused here in the last outage
-        self.recent: deque = deque()  # (time, relay, weight) of what came while cold, within the window
+        self.witnesses: set = set()  # relays that had a failed or refused call in the last outage
+        self.recent: deque = deque()  # (time, relay, weight) of calls to the cold unit within the window
         self.routes: list = []
 
-    # -- outages and the way back -------------------------------------------------------------------
+    # -- outages and recovery -----------------------------------------------------------------------
 
-    def strike(self, trouble: Trouble, now: float) -> None:
-        self.troubles.append(trouble)
-        self.look(now)
+    def add_fault(self, fault: UnitFault, now: float) -> None:
+        self.faults.append(fault)
+        self.update_outage(now)
 
-    def mend(self, trouble: Trouble, now: float) -> None:
-        if trouble in self.troubles:
-            self.troubles.remove(trouble)
-        self.look(now)
+    def remove_fault(self, fault: UnitFault, now: float) -> None:
+        if fault in self.faults:
+            self.faults.remove(fault)
+        self.update_outage(now)
 
-    def look(self, now: float) -> None:
-        """Whether an outage begins or ends here."""
-        out = any(t.kind in OUTAGES and t.part >= MOST and not t.topic for t in self.troubles)
+    def update_outage(self, now: float) -> None:
+        """Begin or end an outage as the active faults require."""
+        out = any(
+            fault.kind in OUTAGE_FAULTS and fault.part >= OUTAGE_CALL_SHARE and not fault.topic
+            for fault in self.faults
+        )
         if out and not self.out:
             self.witnesses.clear()
             self.recent.clear()
@@ -99,70 +122,70 @@
             self.recent.clear()
         self.out = out
 
-    def share(self, now: float) -> float:
-        """The part of its capacity that it has now."""
-        gone = (now - self.cold_since) / self.cold.time if self.cold.time > 0.0 else 1.0
-        return 1.0 if gone >= 1.0 else self.cold.share + (1.0 - self.cold.share) * gone
+    def capacity_share(self, now: float) -> float:
+        """The share of its capacity that the unit has now."""
+        progress = (now - self.cold_since) / self.warm_up.time if self.warm_up.time > 0.0 else 1.0
+        return 1.0 if progress >= 1.0 else self.warm_up.share + (1.0 - self.warm_up.share) * progress
 
     def is_cold(self, now: float) -> bool:
-        return not self.out and now < self.cold_since + self.cold.time
+        return not self.out and now < self.cold_since + self.warm_up.time
 
-    def pushed_over(self, relay, weight: float, now: float) -> list | None:
-        """Work has come to a cold unit; what came within the window if that is too much for it."""
-        recent, window = self.recent, self.cold.window
+    def overloaded_by(self, relay, weight: float, now: float) -> list | None:
+        """Count a call to a cold unit; returns the calls within the window if they exceed its budget."""
+        recent, window = self.recent, self.warm_up.window
         recent.append((now, relay, weight))
         while recent[0][0] <= now - window:
             recent.popleft()
-        budget = self.cold.factor * self.capacity * self.share(now) * window + SLACK
+        budget = self.warm_up.factor * self.capacity * self.capacity_share(now) * window + BUDGET_SLACK_CALLS
         return list(recent) if sum(row[2] for row in recent) > budget else None
 
-    def meets(self, topic: str, chance) -> str:
-        """What stops a call of a topic, "" if nothing does; chance() is even in [0, 1)."""
-        for kind in STOPPING:
-            for t in self.troubles:
+    def blocking_fault(self, topic: str, uniform) -> str:
+        """The kind of fault that stops a call of a topic type, "" if none does; uniform() is in [0, 1)."""
+        for kind in BLOCKING_FAULTS:
+            for fault in self.faults:
                 if (
-                    t.kind == kind
-                    and (not t.topic or t.topic == topic)
-                    and (t.part >= 1.0 or chance() < t.part)
+                    fault.kind == kind
+                    and (not fault.topic or fault.topic == topic)
+                    and (fault.part >= 1.0 or uniform() < fault.part)
                 ):
                     return kind
         return ""
 
-    def slower(self, topic: str, chance) -> float:
-        """How many times longer a call runs, by troubles."""
-        times = 1.0
-        for t in self.troubles:
-            if t.kind in ("slow", "tail") and (not t.topic or t.topic == topic):
-                times *= t.size if t.part >= 1.0 or chance() < t.part else 1.0
-        return times
+    def slowdown(self, topic: str, uniform) -> float:
+        """The factor by which the active faults prolong a call."""
+        factor = 1.0
+        for fault in self.faults:
+            if fault.kind in ("slow", "tail") and (not fault.topic or fault.topic == topic):
+                factor *= fault.size if fault.part >= 1.0 or uniform() < fault.part else 1.0
+        return factor
 
     def opens_at(self) -> float:
-        """Until when it says that it is shut, 0 if it does not say."""
-        return max((t.until for t in self.troubles if t.kind == "shut"), default=0.0)
+        """The time at which a shut unit reports to open, 0 if it reports none."""
+        return max((fault.until for fault in self.faults if fault.kind == "shut"), default=0.0)
 
 
 class Route:
-    """One endpoint: slots, a queue, connections. done(call) is called once a call has run."""
+    """One endpoint: slots, a queue, connections. on_done(call) is called when a call has run."""
 
     __slots__ = (
-        "building", "clock", "conns", "depth", "done", "id", "most_conns", "queue", "running", "shown",
-        "slots", "unit", "working",
+        "active_calls", "building", "clock", "depth", "id", "idle_connections", "max_connections", "on_done",
+        "queue", "running", "slots", "status", "unit",
     )  # fmt: skip
 
     def __init__(
-        self, name: str, unit: Unit, building: int, slots: int, depth: int, clock, done, most_conns=0
+        self, name: str, unit: Unit, building: int, slots: int, depth: int, clock, on_done, max_connections=0
     ):
         self.id, self.unit, self.building, self.slots, self.depth = name, unit, building, slots, depth
-        self.clock, self.done, self.most_conns = clock, done, most_conns
-        self.queue, self.running, self.working = deque(), 0, set()
-        self.conns: dict = {}  # relay -> idle connections, each the time since when
-        self.shown = "up"  # what the registry would tell of it now
+        self.clock, self.on_done, self.max_connections = clock, on_done, max_connections
+        self.queue, self.running, self.active_calls = deque(), 0, set()
+        self.idle_connections: dict = {}  # (relay, incarnation) -> since when each connection is idle
+        self.status = "up"  # its status in the registry
         unit.routes.append(self)
 
-    def arrive(self, call: Call) -> bool:
-        """Whether a call is taken; False: the queue is full."""
+    def enqueue(self, call: Call) -> bool:
+        """Start or queue a call; False if the queue is full."""
         if self.running < self.slots:
-            self.begin(call)
+            self.start(call)
             return True
         if len(self.queue) >= self.depth:
             return False
@@ -170,48 +193,48 @@
         self.queue.append(call)
         return True
 
-    def begin(self, call: Call) -> None:
+    def start(self, call: Call) -> None:
         self.running += 1
         call.state = "running"
-        self.working.add(call)
-        self.clock.call_later(call.work / self.unit.share(self.clock.now), self.finish, call)
+        self.active_calls.add(call)
+        self.clock.call_later(call.work / self.unit.capacity_share(self.clock.now), self.finish, call)
 
     def finish(self, call: Call) -> None:
-        if call.state != "running":  # the process died meanwhile
+        if call.state != "running":  # the process has died meanwhile
             return
         call.state = "ended"
-        self.working.discard(call)
+        self.active_calls.discard(call)
         self.running -= 1
         while self.queue:
             following = self.queue.popleft()
             if following.state == "queued":
-                self.begin(following)
+                self.start(following)
                 break
-        self.done(call)
+        self.on_done(call)
 
     def drop(self, call: Call) -> None:
-        """Its relay gave it up while it waited, and this endpoint notices."""
+        """Remove a queued call that its relay has abandoned."""
         if call.state == "queued":
             call.state = "ended"
             self.queue.remove(call)
 
-    def die(self) -> list[Call]:
-        """The process ends; the calls that it had, none of which runs on."""
-        had = [c for c in [*self.working, *self.queue] if c.state != "ended"]
-        for call in had:
+    def crash(self) -> list[Call]:
+        """The process ends; returns the calls that it had, none of which completes."""
+        interrupted = [c for c in [*self.active_calls, *self.queue] if c.state != "ended"]
+        for call in interrupted:
             call.state = "ended"
         self.queue.clear()
-        self.working.clear()
+        self.active_calls.clear()
         self.running = 0
-        self.conns.clear()
-        return had
+        self.idle_connections.clear()
+        return interrupted
 
-    def open_conns(self, now: float, idle: float) -> int:
-        """Connections open now, those past their idle time forgotten."""
+    def count_connections(self, now: float, idle: float) -> int:
+        """The number of open connections; those past their idle time are discarded."""
         count = self.running
-        for relay, kept in list(self.conns.items()):
-            kept[:] = [since for since in kept if now < since + idle]
-            count += len(kept)
-            if not kept:
-                del self.conns[relay]
+        for relay, idle_since in list(self.idle_connections.items()):
+            idle_since[:] = [since for since in idle_since if now < since + idle]
+            count += len(idle_since)
+            if not idle_since:
+                del self.idle_connections[relay]
         return count
--- a/ryestack/lab/sim/random_streams.py
+++ b/ryestack/lab/sim/random_streams.py
@@ -1,7 +1,7 @@
-"""Chance: streams by name from one seed, so that one part's draws never shift another's.
+"""Named random streams from one seed, so that the draws of one component never shift those of another.
 
-Draws that policies are compared by (arrivals, work) are made beforehand in arrays; the others come in blocks,
-since single draws from numpy cost ten times as much.
+Draws that policies are compared by (arrivals, work) are made in advance in arrays. The others are taken in
+blocks, since single draws from numpy cost ten times as much.
 """
 
 import zlib
@@ -11,23 +11,24 @@
 
 
 class RandomStreams:
-    """Streams of one seed, a non-negative whole number."""
+    """Random streams of next_draw seed, a non-negative integer."""
 
     def __init__(self, seed: int):
         self.seed = seed
 
-    def of(self, *names) -> np.random.Generator:
-        words = [zlib.crc32(str(name).encode()) for name in names]
-        return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, *words])))
+    def generator(self, *names) -> np.random.Generator:
+        """A new generator for the stream of these names."""
+        hashes = [zlib.crc32(str(name).encode()) for name in names]
+        return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, *hashes])))
 
 
-def block(draw: Callable[[int], np.ndarray], size: int = 256) -> Callable[[], float]:
-    """A function that gives the draws one by one, taken so many at a time."""
-    held: list[float] = []
+def buffered(draw: Callable[[int], np.ndarray], size: int = 256) -> Callable[[], float]:
+    """A function that returns single draws, taken from `draw` in blocks of `size`."""
+    buffer: list[float] = []
 
-    def one() -> float:
-        if not held:
-            held.extend(draw(size).tolist())
-        return held.pop()
+    def next_draw() -> float:
+        if not buffer:
+            buffer.extend(draw(size).tolist())
+        return buffer.pop()
 
-    return one
+    return next_draw
--- a/ryestack/lab/sim/registry.py
+++ b/ryestack/lab/sim/registry.py
@@ -1,64 +1,68 @@
-"""The registry of endpoints: replacements, drains, and the changes that each relay is told late."""
+"""The registry of endpoints: replacements, drains, and list changes that reach each relay after a lag."""
 
 from ... import interface
 from ...interface import EndpointStatus
-from .faults import pick
+from .faults import draw_value
 from .partners import Route
 from .relays import Relay
-from .settings import most
+from .settings import maximum
 
-DRAIN = 3.0  # seconds that an endpoint drains before it goes
+DRAIN_TIME_S = 3.0  # from draining to removal of an endpoint, at least
 
 
 class Registry:
-    """more_lag: seconds by which relays are told later than usual."""
+    """extra_lag: seconds added to the lag of list changes."""
 
     def __init__(self, world):
         self.world, self.day, self.clock = world, world.day, world.clock
-        self.more_lag = 0.0
+        self.extra_lag = 0.0
 
-    def whole(self) -> dict[str, interface.Endpoint]:
-        """The list as it stands, by endpoint's id."""
+    def full_list(self) -> dict[str, interface.Endpoint]:
+        """The current list, by endpoint id."""
         layout = self.world.layout
         rows = ((r, dest) for dest, routes in enumerate(layout.dest_routes) for r in routes)
-        return {route.id: layout.entry(route, dest) for route, dest in rows}
+        return {route.id: layout.list_entry(route, dest) for route, dest in rows}
 
     def replace(self, destinations: list[int], span: float) -> None:
-        """Endpoints drain one after the other, go, and others come in their place."""
+        """Replace the endpoints of destinations one after the other, over the span."""
         routes = self.world.layout.dest_routes
-        rows = [(dest, r) for dest in destinations for r in routes[dest] if r.shown == "up"]
+        rows = [(dest, r) for dest in destinations for r in routes[dest] if r.status == "up"]
         for i, (dest, route) in enumerate(rows):
             self.clock.call_later(i * span / max(1, len(rows)), self.drain, dest, route)
 
     def drain(self, dest: int, route: Route) -> None:
-        if route.shown != "up":
+        """Add the replacement of an endpoint and set the endpoint to draining."""
+        if route.status != "up":
             return
-        layout, mark = self.world.layout, f"{route.id.partition('-')[2]}n"
-        fresh = layout.add_route(dest, mark, route.unit, route.building, route.slots, route.depth)
-        layout.dest_routes[dest].append(fresh)
-        self.change(fresh, dest)
-        route.shown = "draining"
-        self.change(route, dest)
-        drains = DRAIN + self.day.rules.grace + most(self.day.directory.lag) + self.more_lag
-        self.clock.call_later(drains, self.gone, dest, route)
+        layout, suffix = self.world.layout, f"{route.id.partition('-')[2]}n"
+        replacement = layout.add_route(dest, suffix, route.unit, route.building, route.slots, route.depth)
+        layout.dest_routes[dest].append(replacement)
+        self.publish(replacement, dest)
+        route.status = "draining"
+        self.publish(route, dest)
+        drain_time = DRAIN_TIME_S + self.day.rules.grace + maximum(self.day.directory.lag) + self.extra_lag
+        self.clock.call_later(drain_time, self.remove, dest, route)
 
-    def gone(self, dest: int, route: Route) -> None:
-        route.shown = "gone"
+    def remove(self, dest: int, route: Route) -> None:
+        """Remove a drained endpoint; calls that it still has are reset."""
+        route.status = "gone"
         self.world.layout.dest_routes[dest].remove(route)
-        self.world.network.cut_off(route)
-        self.change(route, dest)
+        self.world.network.reset_calls(route)
+        self.publish(route, dest)
 
-    def change(self, route: Route, dest: int) -> None:
-        """The registry has a change; each relay is told after a lag of its own."""
-        entry = self.world.layout.entry(route, dest)
+    def publish(self, route: Route, dest: int) -> None:
+        """Send the changed entry to each relay after a lag of its own."""
+        entry = self.world.layout.list_entry(route, dest)
         for relay in self.world.relays:
-            lag = pick(self.day.directory.lag, self.world.lags) + self.more_lag
-            self.clock.call_later(lag, self.tell, relay, entry)
+            lag = draw_value(self.day.directory.lag, self.world.lags) + self.extra_lag
+            self.clock.call_later(lag, self.deliver, relay, entry)
 
-    def tell(self, relay: Relay, entry: interface.Endpoint) -> None:
-        relay.list = {**relay.list, entry.id: entry}
+    def deliver(self, relay: Relay, entry: interface.Endpoint) -> None:
+        relay.endpoints = {**relay.endpoints, entry.id: entry}
         if entry.status is EndpointStatus.GONE:
-            del relay.list[entry.id]
+            del relay.endpoints[entry.id]
         if relay.up:
-            self.world.judge.listed(relay, entry.id, entry.status is EndpointStatus.READY, self.clock.now)
-            relay.tell(interface.ListUpdate((entry,)))
+            self.world.judge.list_changed(
+                relay, entry.id, entry.status is EndpointStatus.READY, self.clock.now
+            )
+            relay.deliver(interface.ListUpdate((entry,)))
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -1,7 +1,7 @@
-"""One relay in the world: the owner's loop round a policy, slots, hold, restarts.
+"""An emulated relay: the event loop around a policy, its slots, its open notifications and its restarts.
 
-It does what `lifecycle/owner.py` does on sockets, in the same order: ends, takes, cancels, pushes. What it
-owes is kept as the ledger keeps it: a push without an outcome counts as one that may have run.
+It acts in the same order as `lifecycle/owner.py` does on sockets: final answers, acceptances, cancellations,
+pushes. Open notifications are kept as in the ledger: a push without an outcome may have run.
 """
 
 from math import inf
@@ -11,240 +11,240 @@
 from ...brain import NEVER_RAN
 from ...interface import Result
 
-WOKEN = interface.TimerFired()
+TIMER_FIRED = interface.TimerFired()
 MAY_STILL_RUN = {Result.TIMED_OUT, Result.BROKEN, Result.CANCELLED}
-LEAVING, DOOR = 3.2, 0.45  # seconds from the word to leave to the end, and until no more is taken
+SHUTDOWN_TIME_S = 3.2  # from the shutdown request to the exit
+ACCEPT_WHILE_LEAVING_S = 0.45  # from the shutdown request to the last acceptance
 
 
-class Hand:
-    """One hand-in of a wish."""
+class Submission:
+    """One submission of an arrival, by its index; open: push -> when it was sent."""
 
     __slots__ = (
-        "counted", "due", "end", "id", "maybe_at", "open", "order", "pushes", "relay", "runs", "topic",
-        "wish",
+        "arrival", "due", "end", "first_effect_at", "id", "key", "may_have_run_at", "open", "pushes", "relay",
+        "runs", "topic",
     )  # fmt: skip
 
-    def __init__(self, name: str, wish: int, topic: int, due: float, order: str):
-        self.id, self.wish, self.topic, self.due, self.order = name, wish, topic, due, order
-        self.pushes, self.maybe_at, self.open = 0, inf, {}  # open: push -> when it went
-        self.end, self.runs, self.counted, self.relay = "", 0, -1.0, None
+    def __init__(self, name: str, arrival: int, topic: int, due: float, key: str):
+        self.id, self.arrival, self.topic, self.due, self.key = name, arrival, topic, due, key
+        self.pushes, self.may_have_run_at, self.open = 0, inf, {}
+        self.end, self.runs, self.first_effect_at, self.relay = "", 0, -1.0, None
 
-    def first_maybe(self) -> float:
-        return min([self.maybe_at, *self.open.values()])
+    def first_may_have_run_at(self) -> float:
+        return min([self.may_have_run_at, *self.open.values()])
 
 
 class Relay:
+    """A relay with a policy; restarts give it a new incarnation."""
+
     def __init__(self, world, number: int, building: int, settings: interface.Settings, policy, seed: int):
         self.world, self.number, self.building = world, number, building
-        self.settings, self.make, self.seed = settings, policy, seed
-        self.up, self.leaving, self.life, self.ready_at = True, False, 0, 0.0
+        self.settings, self.policy, self.seed = settings, policy, seed
+        self.up, self.leaving, self.incarnation, self.ready_at = True, False, 0, 0.0
         self.inbox, self.scheduled, self.free_at, self.paused_until = [], False, 0.0, 0.0
-        self.held: dict[str, Hand] = {}
-        self.out: dict[tuple[str, int], object] = {}  # (id, push) -> its call
-        self.slots, self.list, self.brain = settings.slots, {}, None
+        self.held: dict[str, Submission] = {}
+        self.in_flight: dict[tuple[str, int], object] = {}  # (id, push) -> its call
+        self.slots, self.endpoints, self.brain = settings.slots, {}, None
         self.policy_seconds = 0.0
 
-    # -- a life -------------------------------------------------------------------------------------
-
-    def start(self, recovered: list[Hand]) -> None:
-        """A process begins with the list it had last and with what its folder holds."""
+    def start(self, recovered: list[Submission]) -> None:
+        """Start a process with the last known list and the notifications recovered from its folder."""
         now = self.world.clock.now
         self.up, self.leaving, self.ready_at = True, False, now
         self.slots, self.inbox, self.scheduled = self.settings.slots, [], False
-        self.brain = self.make(self.settings, self.seed + 7919 * self.life)
-        if hasattr(self.brain, "see"):
-            self.brain.see(self.world, self)
-        self.held = {hand.id: hand for hand in recovered}
-        events = [interface.ListUpdate(tuple(self.list.values()), whole=True)]
-        for hand in recovered:
-            hand.maybe_at, hand.open = hand.first_maybe(), {}
-            events.append(self.world.clients.notification(hand))
-        self.do(events, self.think(events), {})
-
-    def die(self) -> list[Hand]:
-        """The process ends; returns what it held."""
-        self.up, self.life = False, self.life + 1
+        self.brain = self.policy(self.settings, self.seed + 7919 * self.incarnation)
+        if hasattr(self.brain, "observe"):
+            self.brain.observe(self.world, self)
+        self.held = {submission.id: submission for submission in recovered}
+        events = [interface.ListUpdate(tuple(self.endpoints.values()), whole=True)]
+        for submission in recovered:
+            submission.may_have_run_at, submission.open = submission.first_may_have_run_at(), {}
+            events.append(self.world.clients.notification(submission))
+        self.apply(events, self.run_policy(events), {})
+
+    def die(self) -> list[Submission]:
+        """End the process; returns its open notifications."""
+        self.up, self.incarnation = False, self.incarnation + 1
         held, self.held = list(self.held.values()), {}
-        self.out.clear()
+        self.in_flight.clear()
         self.brain = None
         return held
 
-    def forgot(self, hand: Hand) -> bool:
-        """Whether a kill without its folder took this one out of its duty."""
-        return self.up and hand.id not in self.held
+    def has_lost(self, submission: Submission) -> bool:
+        """Whether a kill without its folder has released the relay from answering a submission."""
+        return self.up and submission.id not in self.held
 
-    # -- the queue ----------------------------------------------------------------------------------
+    # -- event queue --------------------------------------------------------------------------------
 
-    def tell(self, event) -> None:
+    def deliver(self, event) -> None:
         self.inbox.append(event)
         if not self.scheduled:
             self.scheduled = True
-            self.world.clock.call_at(max(self.free_at, self.paused_until), self.round, self.life)
+            self.world.clock.call_at(max(self.free_at, self.paused_until), self.round, self.incarnation)
 
-    def wake(self, life: int) -> None:
-        if life == self.life and self.up:
-            self.tell(WOKEN)
+    def on_timer(self, incarnation: int) -> None:
+        if incarnation == self.incarnation and self.up:
+            self.deliver(TIMER_FIRED)
 
-    def round(self, life: int) -> None:
-        if life != self.life or not self.up:
+    def round(self, incarnation: int) -> None:
+        if incarnation != self.incarnation or not self.up:
             return
         now = self.world.clock.now
         if now < self.paused_until:
-            self.world.clock.call_at(self.paused_until, self.round, life)
+            self.world.clock.call_at(self.paused_until, self.round, incarnation)
             return
         self.scheduled = False
         events, self.inbox = self.inbox, []
-        heard, fresh, most = [], {}, self.settings.max_open
+        inputs, new, max_open = [], {}, self.settings.max_open
         for event in events:
             kind = type(event)
-            if kind is Hand:
-                if len(self.held) + len(fresh) >= most:
+            if kind is Submission:
+                if len(self.held) + len(new) >= max_open:
                     self.world.clients.turned_away(event)
                     continue
-                fresh[event.id] = event
-                heard.append(self.world.clients.notification(event))
+                new[event.id] = event
+                inputs.append(self.world.clients.notification(event))
             else:
                 if kind is interface.Outcome:
-                    self.before_outcome(event, now)
-                heard.append(event)
-        self.do(heard, self.think(heard), fresh)
+                    self.record_outcome(event, now)
+                inputs.append(event)
+        self.apply(inputs, self.run_policy(inputs), new)
 
-    def think(self, events: list) -> list:
+    def run_policy(self, events: list) -> list:
         began = perf_counter()
         actions = self.brain.round(self.world.clock.now, events)
         self.policy_seconds += perf_counter() - began
         return actions
 
-    def before_outcome(self, o: interface.Outcome, now: float) -> None:
-        """The history, as the ledger has it, and what the judge must know of the relay's knowledge."""
-        hand, judge = self.held.get(o.id), self.world.judge
-        unit = self.world.layout.routes[o.endpoint].unit
-        if o.wait > 0.0:
-            judge.wait(self, unit, now + o.wait)
-        if o.result is not Result.DELIVERED and o.result is not Result.NOT_SENT and unit.out:
+    def record_outcome(self, outcome: interface.Outcome, now: float) -> None:
+        """Keep the history as the ledger does, and report to the judge what the relay now knows."""
+        submission, judge = self.held.get(outcome.id), self.world.judge
+        unit = self.world.layout.routes[outcome.endpoint].unit
+        if outcome.wait > 0.0:
+            judge.wait_requested(self, unit, now + outcome.wait)
+        if outcome.result is not Result.DELIVERED and outcome.result is not Result.NOT_SENT and unit.out:
             unit.witnesses.add(self)
-        if hand is None:
+        if submission is None:
             return
-        sent = hand.open.pop(o.push, inf)
-        if o.result is Result.DELIVERED or o.ended:
-            del self.held[o.id]
-            judge.ended(hand, "delivered", now)
-        elif o.result not in NEVER_RAN:
-            hand.maybe_at = min(hand.maybe_at, sent)
-            if o.result in MAY_STILL_RUN:
-                judge.may_still_run(hand, now)
-
-    def do(self, heard: list, actions: list, fresh: dict[str, Hand]) -> None:
+        sent = submission.open.pop(outcome.push, inf)
+        if outcome.result is Result.DELIVERED or outcome.ended:
+            del self.held[outcome.id]
+            judge.answered(submission, "delivered", now)
+        elif outcome.result not in NEVER_RAN:
+            submission.may_have_run_at = min(submission.may_have_run_at, sent)
+            if outcome.result in MAY_STILL_RUN:
+                judge.may_still_run(submission, now)
+
+    def apply(self, inputs: list, actions: list, new: dict[str, Submission]) -> None:
         world, now = self.world, self.world.clock.now
-        ends, cancels, pushes, wakes = [], [], [], []
+        answers, cancels, pushes, timers = [], [], [], []
         for action in actions:
             kind = type(action)
             if kind is interface.Push:
                 pushes.append(action)
             elif kind is interface.SetTimer:
-                wakes.append(action)
+                timers.append(action)
             elif kind is interface.Cancel:
                 cancels.append(action)
             elif kind is interface.CloseIdleConnections:
                 world.network.close_idle(self, action.endpoint)
             elif kind not in (interface.AskForList, interface.CancelUnsent):
-                ends.append(action)
+                answers.append(action)
         fleet = world.day.fleet
-        cost = fleet.cpu_round + fleet.cpu_event * (len(heard) + len(pushes))
+        cost = fleet.cpu_round + fleet.cpu_event * (len(inputs) + len(pushes))
         self.free_at = now + max(cost, self.settings.quantum)
-        gone = set()
-        for action in ends:
-            hand = fresh.pop(action.id, None) or self.held.pop(action.id, None)
-            if hand is not None:
-                gone.add(action.id)
-                hand.relay = self
-                self.end(hand, action, now)
-        for hand in fresh.values():
-            hand.relay = self
-            self.held[hand.id] = hand
-            world.clients.taken(hand)
+        answered = set()
+        for action in answers:
+            submission = new.pop(action.id, None) or self.held.pop(action.id, None)
+            if submission is not None:
+                answered.add(action.id)
+                submission.relay = self
+                self.finish(submission, action, now)
+        for submission in new.values():
+            submission.relay = self
+            self.held[submission.id] = submission
+            world.clients.accepted(submission)
         for action in cancels:
             self.give_up(action.id, action.push, Result.CANCELLED)
         if pushes:
-            self.push(pushes, gone, now, cost)
-        for action in wakes:
-            world.clock.call_later(action.after, self.wake, self.life)
+            self.push(pushes, answered, now, cost)
+        for action in timers:
+            world.clock.call_later(action.after, self.on_timer, self.incarnation)
 
-    def end(self, hand: Hand, action, now: float) -> None:
+    def finish(self, submission: Submission, action, now: float) -> None:
         throttled = type(action) is interface.Throttle
-        self.world.judge.ended(hand, "throttled" if throttled else "expired", now)
-        self.world.clients.given_up(hand, throttled, action.retry_after if throttled else 0.0)
+        self.world.judge.answered(submission, "throttled" if throttled else "expired", now)
+        self.world.clients.undelivered(submission, throttled, action.retry_after if throttled else 0.0)
 
-    def push(self, pushes: list[interface.Push], gone: set, now: float, cost: float) -> None:
-        """Those of one round to one endpoint travel together, as many as it takes."""
+    def push(self, pushes: list[interface.Push], answered: set, now: float, cost: float) -> None:
+        """Send the pushes of one round; those to one endpoint share calls, up to its batch size."""
         calls: dict[str, list] = {}
-        for p in pushes:
-            hand = self.held.get(p.id)
-            if hand is None:
-                if p.id in gone:
-                    self.world.judge.fault(1, now, p.id, "pushed in the round that ended it")
-                self.tell(interface.Outcome(p.id, 0, p.endpoint, Result.NOT_SENT, ended=True))
+        for push in pushes:
+            submission = self.held.get(push.id)
+            if submission is None:
+                if push.id in answered:
+                    self.world.judge.report(1, now, push.id, "pushed in the round of its final answer")
+                self.deliver(interface.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True))
                 continue
-            number = hand.pushes
-            hand.pushes += 1
+            number = submission.pushes
+            submission.pushes += 1
             if number >= self.settings.max_pushes:
-                self.tell(interface.Outcome(p.id, number, p.endpoint, Result.NOT_SENT))
+                self.deliver(interface.Outcome(push.id, number, push.endpoint, Result.NOT_SENT))
                 continue
-            calls.setdefault(p.endpoint, []).append((hand, number, p.timeout))
+            calls.setdefault(push.endpoint, []).append((submission, number, push.timeout))
         for endpoint, items in calls.items():
             route = self.world.layout.routes.get(endpoint)
-            most = self.world.layout.batches[endpoint]
-            for at in range(0, len(items), most):
-                self.start_call(route, items[at : at + most], now, cost)
+            batch = self.world.layout.batches[endpoint]
+            for start in range(0, len(items), batch):
+                self.start_call(route, items[start : start + batch], now, cost)
 
     def start_call(self, route, items: list, now: float, cost: float) -> None:
         if self.slots <= 0:
-            for hand, number, _ in items:
-                self.tell(interface.Outcome(hand.id, number, route.id, Result.NOT_SENT))
+            for submission, number, _ in items:
+                self.deliver(interface.Outcome(submission.id, number, route.id, Result.NOT_SENT))
             return
         self.slots -= 1
-        for hand, number, _ in items:
-            hand.open[number] = now
-            self.world.judge.pushed(hand, number, route, now)
-        call = self.world.network.send(self, route, [(hand, number) for hand, number, _ in items], now, cost)
-        out, at = self.out, self.world.clock.call_at
-        for hand, number, timeout in items:
-            out[hand.id, number] = call
+        for submission, number, _ in items:
+            submission.open[number] = now
+            self.world.judge.pushed(submission, number, route, now)
+        call = self.world.network.send(self, route, [(s, number) for s, number, _ in items], now, cost)
+        in_flight, call_at = self.in_flight, self.world.clock.call_at
+        for submission, number, timeout in items:
+            in_flight[submission.id, number] = call
             if timeout < inf:
-                at(now + timeout, self.time_out, self.life, hand.id, number)
+                call_at(now + timeout, self.time_out, self.incarnation, submission.id, number)
 
-    # -- how pushes end -----------------------------------------------------------------------------
+    # -- outcomes -----------------------------------------------------------------------------------
 
-    def time_out(self, life: int, name: str, push: int) -> None:
-        if life == self.life and (name, push) in self.out:
+    def time_out(self, incarnation: int, name: str, push: int) -> None:
+        if incarnation == self.incarnation and (name, push) in self.in_flight:
             self.give_up(name, push, Result.TIMED_OUT)
 
     def give_up(self, name: str, push: int, result: Result) -> None:
-        call = self.out.pop((name, push), None)
+        call = self.in_flight.pop((name, push), None)
         if call is None:
             return
         now = self.world.clock.now
-        if now < call.stands:
+        if now < call.connected_at:
             result = Result.NO_CONNECTION
-        self.leave(call)
-        self.tell(interface.Outcome(name, push, call.route.id, result, now - call.sent))
+        self.release(call)
+        self.deliver(interface.Outcome(name, push, call.route.id, result, now - call.sent))
 
-    def leave(self, call) -> None:
-        """One of a call's items has its outcome; with the last one its slot is free."""
-        call.open -= 1
-        if not call.open:
+    def release(self, call) -> None:
+        """An item of a call has its outcome; the last one frees the slot."""
+        call.pending -= 1
+        if not call.pending:
             self.slots += 1
-            self.world.network.let_go(call)
-
-    def answered(self, call, result: Result, wait: float, limit: float) -> None:
-        """Word on a call has come back."""
-        route, now, told = call.route.id, self.world.clock.now, False
-        for hand, number in call.items:
-            if self.out.pop((hand.id, number), None) is not None:
-                call.open -= 1
-                told = True
-                self.tell(
-                    interface.Outcome(hand.id, number, route, result, now - call.sent, False, wait, limit)
+            self.world.network.abandon(call)
+
+    def on_reply(self, call, result: Result, wait: float, limit: float) -> None:
+        route, now, reported = call.route.id, self.world.clock.now, False
+        for submission, push in call.items:
+            if self.in_flight.pop((submission.id, push), None) is not None:
+                call.pending -= 1
+                reported = True
+                self.deliver(
+                    interface.Outcome(submission.id, push, route, result, now - call.sent, False, wait, limit)
                 )
-        if told and not call.open:
+        if reported and not call.pending:
             self.slots += 1
--- a/ryestack/lab/sim/settings.py
+++ b/ryestack/lab/sim/settings.py
@@ -1,4 +1,4 @@
-"""What each relay of the world is told when it starts: the settings that follow from a scenario."""
+"""The settings of the relays that follow from a scenario."""
 
 from math import ceil
 
@@ -8,32 +8,33 @@
 from ..scenario import Scenario
 from .layout import Layout
 
-ROOMY = 2.0  # times what a relay's part keeps busy, where the scenario leaves the slots open
-HOLDS = 10.0  # seconds of a relay's part, where it leaves the hold open
+SLOT_HEADROOM = 2.0  # slots over those that a relay's share of the traffic needs, if the scenario sets none
+MAX_OPEN_S = 10.0  # seconds of a relay's share of the traffic that it may hold, if the scenario sets no limit
 
 
 def settings_of(day: Scenario, layout: Layout) -> interface.Settings:
+    """The settings of each relay; capacities that the scenario leaves open follow from its traffic."""
     fleet = day.fleet
-    part = day.traffic.rate / fleet.relays
-    busy = part * float(np.dot(layout.shares, layout.paces))
+    rate = day.traffic.rate / fleet.relays
+    busy_slots = rate * float(np.dot(layout.shares, layout.service_times))
     return interface.Settings(
         topic_types=_topic_types(day),
         customers=_customers(day),
-        kinds=tuple(interface.Kind(g.name, g.apart, g.batch) for g in day.group),
+        kinds=tuple(interface.Kind(group.name, group.apart, group.batch) for group in day.group),
         rules=interface.Rules(
-            cold_share=min(least(g.cold.share) for g in day.group),
-            cold_time=max(most(g.cold.time) for g in day.group),
+            cold_share=min(minimum(group.cold.share) for group in day.group),
+            cold_time=max(maximum(group.cold.time) for group in day.group),
             overload_factor=day.rules.factor,
             fall_time=day.rules.window,
             key_rest=day.rules.key_rest,
         ),
-        slots=fleet.slots or max(3, ceil(ROOMY * busy)),
-        max_open=fleet.hold or max(10, ceil(HOLDS * part)),
+        slots=fleet.slots or max(3, ceil(SLOT_HEADROOM * busy_slots)),
+        max_open=fleet.hold or max(10, ceil(MAX_OPEN_S * rate)),
         relays=fleet.relays,
         over_share_benefit=day.traffic.over_share,
         late_benefit=interface.LateBenefit(day.traffic.late),
         list_has_rates=day.directory.told_rates,
-        rough_rates=any(g.rough > 0.0 for g in day.group),
+        rough_rates=any(group.rough > 0.0 for group in day.group),
         max_pushes=fleet.max_pushes,
         may_cancel=fleet.may_cancel,
         max_retry_after=fleet.max_come_back,
@@ -46,35 +47,35 @@
 def _topic_types(day: Scenario) -> tuple[interface.TopicType, ...]:
     return tuple(
         interface.TopicType(
-            t.name,
-            interface.Effect(t.effect),
-            t.objective,
-            t.ttl,
-            t.benefit,
-            t.late_share,
+            topic.name,
+            interface.Effect(topic.effect),
+            topic.objective,
+            topic.ttl,
+            topic.benefit,
+            topic.late_share,
             "all",
-            t.window if t.effect == "collapsible" else 0.0,
-            t.keep_order,
+            topic.window if topic.effect == "collapsible" else 0.0,
+            topic.keep_order,
         )
-        for t in day.topic
+        for topic in day.topic
     )
 
 
 def _customers(day: Scenario) -> tuple[interface.Customer, ...]:
-    """Those with a quota; it is a part of their share of load 1."""
-    whole = sum(c.share for c in day.customer)
+    """The customers with a quota, in notifications a second: a multiple of their share of load 1."""
+    total_share = sum(c.share for c in day.customer)
     return tuple(
-        interface.Customer(c.name, c.quota * c.share / whole * day.traffic.rate)
+        interface.Customer(c.name, c.quota * c.share / total_share * day.traffic.rate)
         for c in day.customer
         if c.quota > 0.0
     )
 
 
-def least(value) -> float:
-    """Of a number, or of a range [least, most]."""
+def minimum(value) -> float:
+    """The lower end of a range [minimum, maximum], or the number itself."""
     return value[0] if isinstance(value, list) else value
 
 
-def most(value) -> float:
-    """Of a number, or of a range [least, most]."""
+def maximum(value) -> float:
+    """The upper end of a range [minimum, maximum], or the number itself."""
     return value[-1] if isinstance(value, list) else value
--- a/ryestack/lab/sim/world.py
+++ b/ryestack/lab/sim/world.py
@@ -1,4 +1,4 @@
-"""The emulated world, put together: clients, relays, network, destinations, registry, faults."""
+"""The emulated world: assembles clients, relays, network, destinations, registry and faults."""
 
 from math import ceil
 
@@ -12,57 +12,64 @@
 from .layout import Layout
 from .measurements import Measurements
 from .network import Network
-from .random_streams import RandomStreams, block
+from .random_streams import RandomStreams, buffered
 from .registry import Registry
 from .relays import Relay
 from .settings import settings_of
 
-AFTER = 2  # seconds played past the time of the last notification
-RELAY_SEEDS = 1_000_003  # between the seeds of two days: more than relays have lives
+DRAIN_TIME_S = 2  # played after the last deadline
+RELAY_SEED_STRIDE = 1_000_003  # between two days; larger than the number of relay incarnations of a day
 
 
 class World:
-    """One day. policy(settings, seed) makes what each relay decides by; run() plays it.
+    """One day; run() plays it.
 
-    trace: hand-ins whose lives the judge writes down. uniform: the calls' stream of even numbers in [0, 1);
-    lags: the generator of what the front and the registry take.
+    policy(settings, seed): creates the policy of a relay; trace: ids of submissions that the judge traces;
+    uniform: returns uniform numbers in [0, 1) for calls; lags: the generator for delays of the load balancer
+    and the registry.
     """
 
     def __init__(self, day: Scenario, seed: int, policy, trace=()):
-        self.day, self.seed, self.chance, self.clock = day, seed, RandomStreams(seed), Clock()
+        self.day, self.seed, self.streams, self.clock = day, seed, RandomStreams(seed), Clock()
         self.judge = Judge(day.topic, day.rules, trace)
-        self.uniform, self.lags = block(self.chance.of("calls").random), self.chance.of("front")
+        self.uniform, self.lags = (
+            buffered(self.streams.generator("calls").random),
+            self.streams.generator("front"),
+        )
         self.network, self.registry = Network(self), Registry(self)
         self.clients, self.injector = Clients(self), FaultInjector(self)
-        gen = self.chance.of("world")
-        self.load = faults.pick(day.traffic.load, gen)
-        self.layout = Layout(day, gen, self.clock, self.network.done)
-        self.plan = faults.plan(day, self.layout.shares, self.layout.groups, self.layout.stand, self.chance)
+        rng = self.streams.generator("world")
+        self.load = faults.draw_value(day.traffic.load, rng)
+        self.layout = Layout(day, rng, self.clock, self.network.done)
+        self.plan = faults.plan(
+            day, self.layout.shares, self.layout.groups, self.layout.home_buildings, self.streams
+        )
         self.arrivals = self.draw_arrivals()
         self.accounts = Accounts(day, self.arrivals)
         self.settings = settings_of(day, self.layout)
-        self.relays = [self.relay(number, policy) for number in range(day.fleet.relays)]
-        self.seconds = ceil(day.seconds) + ceil(max(t.ttl for t in day.topic)) + AFTER
+        self.relays = [self.make_relay(number, policy) for number in range(day.fleet.relays)]
+        self.seconds = ceil(day.seconds) + ceil(max(t.ttl for t in day.topic)) + DRAIN_TIME_S
         self.measured = Measurements(self.seconds, len(self.layout.shares))
 
     def draw_arrivals(self) -> traffic.Arrivals:
         layout = self.layout
         clumps = [
-            (s.at, dest, ceil(s.size * layout.takes[dest]))
-            for s in self.plan
-            if s.kind == "clump"
-            for dest in s.destinations
+            (fault.at, dest, ceil(fault.size * layout.accepted_rates[dest]))
+            for fault in self.plan
+            if fault.kind == "clump"
+            for dest in fault.destinations
         ]
-        return traffic.draw(self.day, layout.shares, layout.takes, self.load, clumps, self.chance)
+        return traffic.draw(self.day, layout.shares, layout.accepted_rates, self.load, clumps, self.streams)
 
-    def relay(self, number: int, policy) -> Relay:
+    def make_relay(self, number: int, policy) -> Relay:
         building = number % self.day.network.buildings
-        return Relay(self, number, building, self.settings, policy, self.seed * RELAY_SEEDS + number)
+        return Relay(self, number, building, self.settings, policy, self.seed * RELAY_SEED_STRIDE + number)
 
     def run(self) -> "World":
-        whole = self.registry.whole()
+        """Play the day; returns self."""
+        full_list = self.registry.full_list()
         for relay in self.relays:
-            relay.list = whole  # shared until it is told a change
+            relay.endpoints = full_list  # shared until the relay receives a change
             relay.start([])
         self.injector.start()
         self.clients.start()
--- a/ryestack/lab/validity.py
+++ b/ryestack/lab/validity.py
@@ -14,7 +14,7 @@
 
 from .sim import paces
 from .sim.clock import Clock
-from .sim.partners import Call, Cold, Route, Unit
+from .sim.partners import Call, Route, Unit, WarmUp
 from .sim.random_streams import RandomStreams
 
 LOADS = (0.5, 0.7, 0.85)
@@ -60,30 +60,30 @@
 class _Nobody:
     """Who sends where no relay is wanted."""
 
-    life, number, building = 0, 0, 0
+    incarnation, number, building = 0, 0, 0
 
 
 def queue(
-    shape: str, cv: float, servers: int, room: float, load: float, seed: int, count: int
+    shape: str, cv: float, servers: int, queue_places: float, load: float, seed: int, count: int
 ) -> tuple[float, float]:
     """(mean wait in units of the mean service time, part turned away) at one endpoint."""
     chance, clock = RandomStreams(seed), Clock()
-    unit = Unit("u", 1.0, Cold(1.0, 0.0, 1.0, 1.0, 0.0))
+    unit = Unit("u", 1.0, WarmUp(1.0, 0.0, 1.0, 1.0, 0.0))
     waits, lost = [], [0]
 
     def done(call: Call) -> None:
         waits.append((call.sent, clock.now - call.sent - call.work))
 
-    route = Route("r", unit, 0, servers, room, clock, done)
-    at = np.cumsum(chance.of("arrivals").exponential(1.0 / (load * servers), count))
-    work = paces.unit(shape, cv, [], chance.of("work"), count)
+    route = Route("r", unit, 0, servers, queue_places, clock, done)
+    at = np.cumsum(chance.generator("arrivals").exponential(1.0 / (load * servers), count))
+    work = paces.draw_normalized(shape, cv, [], chance.generator("work"), count)
 
     def arrive(i: int) -> None:
         if i + 1 < count:
             clock.call_at(float(at[i + 1]), arrive, i + 1)
         call = Call(_Nobody, route, [], clock.now)
         call.work = float(work[i])
-        if not route.arrive(call) and clock.now > WARM * at[-1]:
+        if not route.enqueue(call) and clock.now > WARM * at[-1]:
             lost[0] += 1
 
     clock.call_at(float(at[0]), arrive, 0)
--- a/tests/emulated.py
+++ b/tests/emulated.py
@@ -1,7 +1,7 @@
 """Parts of emulated days that several tests build."""
 
 from ryestack.lab import scenario as sc
-from ryestack.lab.sim.partners import Cold, Unit
+from ryestack.lab.sim.partners import Unit, WarmUp
 
 TOPICS = [
     sc.Topic("again", effect="repeatable"),
@@ -16,4 +16,4 @@
 
 
 def unit(**more):
-    return Unit("u", 10.0, Cold(0.5, 10.0, 1.5, 1.0, 5.0), **more)
+    return Unit("u", 10.0, WarmUp(0.5, 10.0, 1.5, 1.0, 5.0), **more)
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -8,9 +8,9 @@
 from ryestack.lab import validity
 from ryestack.lab.sim import paces, traffic
 from ryestack.lab.sim.clock import Clock
-from ryestack.lab.sim.limits import Rate, Window
-from ryestack.lab.sim.partners import Call, Route, Trouble
-from ryestack.lab.sim.random_streams import RandomStreams, block
+from ryestack.lab.sim.limits import RateLimit, WindowLimit
+from ryestack.lab.sim.partners import Call, Route, UnitFault
+from ryestack.lab.sim.random_streams import RandomStreams, buffered
 
 from .emulated import day, unit
 
@@ -18,21 +18,21 @@
 class Chances(unittest.TestCase):
     def test_streams_by_name_do_not_shift_each_other(self):
         one, two = RandomStreams(5), RandomStreams(5)
-        two.of("other").random(100)
-        self.assertEqual(one.of("a", 1).random(3).tolist(), two.of("a", 1).random(3).tolist())
-        self.assertNotEqual(one.of("a", 1).random(), one.of("a", 2).random())
-        u = block(one.of("b").random, 4)
+        two.generator("other").random(100)
+        self.assertEqual(one.generator("a", 1).random(3).tolist(), two.generator("a", 1).random(3).tolist())
+        self.assertNotEqual(one.generator("a", 1).random(), one.generator("a", 2).random())
+        u = buffered(one.generator("b").random, 4)
         self.assertEqual(len({u() for _ in range(10)}), 10)
 
     def test_paces_have_mean_one_and_their_spread(self):
-        gen = RandomStreams(3).of("p")
+        gen = RandomStreams(3).generator("p")
         for shape, cv, wanted in (("exponential", 0, 1.0), ("lognormal", 0.8, 0.8), ("heavy", 0.6, 0.6)):
-            drawn = paces.unit(shape, cv, [], gen, 400_000)
+            drawn = paces.draw_normalized(shape, cv, [], gen, 400_000)
             self.assertAlmostEqual(drawn.mean(), 1.0, delta=0.01)
             self.assertAlmostEqual(drawn.std(), wanted, delta=0.15)
-        drawn = paces.unit("empirical", 0, [1.0, 3.0], gen, 1000)
+        drawn = paces.draw_normalized("empirical", 0, [1.0, 3.0], gen, 1000)
         self.assertEqual(set(drawn.tolist()), {0.5, 1.5})
-        self.assertEqual(set(paces.unit("fixed", 0, [], gen, 3)), {1.0})
+        self.assertEqual(set(paces.draw_normalized("fixed", 0, [], gen, 3)), {1.0})
 
     def test_equal_times_go_in_the_order_asked_for_and_nothing_goes_back(self):
         clock, seen = Clock(), []
@@ -58,35 +58,35 @@
         self.assertEqual(set((found.key >= 0)[found.topic == 0].tolist()), {False})
         burst = (found.at > 50.0) & (found.at < 51.0) & (found.destination == 2)
         self.assertGreater(burst.sum(), 300)
-        over = found.worth[found.customer == 0] < 1.0
+        over = found.benefit_factor[found.customer == 0] < 1.0
         self.assertAlmostEqual(over.mean(), 0.5, delta=0.1)  # it hands in twice its quota
-        self.assertEqual(found.worth[found.customer == 1].min(), 1.0)
+        self.assertEqual(found.benefit_factor[found.customer == 1].min(), 1.0)
 
     def test_every_shape_of_a_day_has_its_mean(self):
         for shape in ("steady", "bursty", "ramp", "wave"):
-            _, level = traffic.intensity(shape, 0.5, 4000.0, RandomStreams(1).of(shape))
+            _, level = traffic.intensity(shape, 0.5, 4000.0, RandomStreams(1).generator(shape))
             self.assertAlmostEqual(level.mean(), 1.0, delta=0.06)
 
 
 class Limits(unittest.TestCase):
     def test_a_rate_lets_its_burst_and_then_its_rate_through(self):
-        limit = Rate(10.0, 5.0, False)
-        self.assertEqual(sum(limit.take(0.0)[0] for _ in range(20)), 5)
-        good, wait = limit.take(0.0)
+        limit = RateLimit(10.0, 5.0, False)
+        self.assertEqual(sum(limit.acquire(0.0)[0] for _ in range(20)), 5)
+        good, wait = limit.acquire(0.0)
         self.assertFalse(good)
         self.assertAlmostEqual(wait, 0.1)
-        self.assertEqual(sum(limit.take(0.01 * i)[0] for i in range(1, 101)), 10)
+        self.assertEqual(sum(limit.acquire(0.01 * i)[0] for i in range(1, 101)), 10)
 
     def test_refused_calls_use_a_limit_up_where_they_count(self):
-        for limit in (Rate(10.0, 5.0, True), Window(10.0, 1.0, True)):
-            taken = sum(limit.take(0.02 * i)[0] for i in range(500))  # 50 a second for ten seconds
+        for limit in (RateLimit(10.0, 5.0, True), WindowLimit(10.0, 1.0, True)):
+            taken = sum(limit.acquire(0.02 * i)[0] for i in range(500))  # 50 a second for ten seconds
             self.assertLess(taken, 70)
 
     def test_a_window_counts_by_spans_and_tells_its_end(self):
-        limit = Window(3.0, 2.0, False)
-        self.assertEqual([limit.take(0.5)[0] for _ in range(4)], [True, True, True, False])
-        self.assertAlmostEqual(limit.take(1.25)[1], 0.75)
-        self.assertEqual((limit.take(2.0)[0], limit.room(2.0)), (True, 2.0))
+        limit = WindowLimit(3.0, 2.0, False)
+        self.assertEqual([limit.acquire(0.5)[0] for _ in range(4)], [True, True, True, False])
+        self.assertAlmostEqual(limit.acquire(1.25)[1], 0.75)
+        self.assertEqual((limit.acquire(2.0)[0], limit.available(2.0)), (True, 2.0))
 
 
 class Destinations(unittest.TestCase):
@@ -97,47 +97,48 @@
         self.assertAlmostEqual(validity.loss(1, 0, 1.0), 0.5)  # Erlang's loss with one server at one erlang
 
     def test_an_outage_begins_and_ends_with_its_troubles_and_what_comes_back_is_cold(self):
-        u, one, two = unit(), Trouble("hang", 1.0), Trouble("error", 0.3)
-        u.strike(two, 1.0)
+        u, one, two = unit(), UnitFault("hang", 1.0), UnitFault("error", 0.3)
+        u.add_fault(two, 1.0)
         self.assertFalse(u.out)  # three calls in ten failing are no outage
-        u.strike(one, 2.0)
+        u.add_fault(one, 2.0)
         u.witnesses.add("r")
-        u.mend(two, 3.0)
+        u.remove_fault(two, 3.0)
         self.assertTrue(u.out)
-        u.mend(one, 4.0)
+        u.remove_fault(one, 4.0)
         self.assertEqual((u.out, u.is_cold(4.0)), (False, True))
-        self.assertEqual([u.share(at) for at in (4.0, 9.0, 14.0)], [0.5, 0.75, 1.0])
+        self.assertEqual([u.capacity_share(at) for at in (4.0, 9.0, 14.0)], [0.5, 0.75, 1.0])
         self.assertEqual(u.witnesses, {"r"})
-        u.strike(one, 20.0)
+        u.add_fault(one, 20.0)
         self.assertEqual(u.witnesses, set())
 
     def test_too_much_for_a_cold_one_within_the_window(self):
         u = unit()
         u.cold_since = 0.0
-        calm = [u.pushed_over("r", 1.0, 0.2 * i) for i in range(20)]  # five a second, it can do five
+        calm = [u.overloaded_by("r", 1.0, 0.2 * i) for i in range(20)]  # five a second, it can do five
         self.assertEqual(set(calm), {None})
-        hard = [u.pushed_over("r", 1.0, 4.0 + 0.02 * i) for i in range(20)]
+        hard = [u.overloaded_by("r", 1.0, 4.0 + 0.02 * i) for i in range(20)]
         self.assertIsNotNone(hard[-1])
 
     def test_troubles_compose_and_strike_their_topic(self):
         u, even = unit(), lambda: 0.5
-        u.strike(Trouble("slow", 1.0, 4.0), 0.0)
-        u.strike(Trouble("tail", 1.0, 3.0, "b"), 0.0)
-        u.strike(Trouble("lost", 0.4), 0.0)
-        u.strike(Trouble("shut", 0.6, topic="b", until=9.0), 0.0)
-        self.assertEqual((u.slower("a", even), u.slower("b", even)), (4.0, 12.0))
-        self.assertEqual((u.meets("a", even), u.meets("b", even), u.opens_at()), ("", "shut", 9.0))
+        u.add_fault(UnitFault("slow", 1.0, 4.0), 0.0)
+        u.add_fault(UnitFault("tail", 1.0, 3.0, "b"), 0.0)
+        u.add_fault(UnitFault("lost", 0.4), 0.0)
+        u.add_fault(UnitFault("shut", 0.6, topic="b", until=9.0), 0.0)
+        self.assertEqual((u.slowdown("a", even), u.slowdown("b", even)), (4.0, 12.0))
+        found = u.blocking_fault("a", even), u.blocking_fault("b", even), u.opens_at()
+        self.assertEqual(found, ("", "shut", 9.0))
 
     def test_slots_queue_and_what_dies_with_the_process(self):
         clock, done = Clock(), []
-        route, relay = Route("r", unit(), 0, 1, 1, clock, done.append), SimpleNamespace(life=0)
+        route, relay = Route("r", unit(), 0, 1, 1, clock, done.append), SimpleNamespace(incarnation=0)
         calls = [Call(relay, route, [], 0.0) for _ in range(3)]
         for call in calls:
             call.work = 1.0
-        self.assertEqual([route.arrive(c) for c in calls], [True, True, False])
+        self.assertEqual([route.enqueue(c) for c in calls], [True, True, False])
         clock.run(1.5)
         self.assertEqual(done, calls[:1])
-        self.assertEqual(route.die(), [calls[1]])
+        self.assertEqual(route.crash(), [calls[1]])
         clock.run(9.0)
         self.assertEqual((done, route.running), (calls[:1], 0))
 
--- a/tests/test_emulator_rules.py
+++ b/tests/test_emulator_rules.py
@@ -9,7 +9,7 @@
 from ryestack.lab.judge import Judge
 from ryestack.lab.policies.textbook import RandomRoute, RoundRobin, TokenBucket
 from ryestack.lab.runner import policy_of
-from ryestack.lab.sim.relays import Hand
+from ryestack.lab.sim.relays import Submission
 
 from .emulated import TOPICS, unit
 from .helpers import settings, take
@@ -20,93 +20,93 @@
 
     def setUp(self):
         self.judge = Judge(TOPICS, sc.Rules())
-        self.relay = SimpleNamespace(number=0, up=True, ready_at=0.0, forgot=lambda hand: False)
+        self.relay = SimpleNamespace(number=0, up=True, ready_at=0.0, has_lost=lambda submission: False)
         self.route = SimpleNamespace(id="s", unit=SimpleNamespace(name="d"))
 
-    def hand(self, name="1.0", topic=0, due=20.0, order=""):
-        made = Hand(name, 1, topic, due, order)
+    def submission(self, name="1.0", topic=0, due=20.0, key=""):
+        made = Submission(name, 1, topic, due, key)
         made.relay = self.relay
-        self.judge.taken(made, 0.0)
+        self.judge.accepted(made, 0.0)
         return made
 
     def broke(self, *rules):
         self.assertEqual([k for k, n in self.judge.counts.items() if n], list(rules), self.judge.violations)
 
     def test_one_end_in_time_and_nothing_after(self):
-        j = self.judge
+        judge = self.judge
         for spoil in (
-            lambda h: (j.ended(h, "delivered", 1.0), j.ended(h, "expired", 2.0)),
-            lambda h: (j.ended(h, "throttled", 1.0), j.pushed(h, 0, self.route, 2.0)),
-            lambda h: j.pushed(h, 0, self.route, 20.1),
-            lambda h: j.ended(h, "expired", 20.1),
-            lambda h: j.overdue(h, 20.06),
+            lambda h: (judge.answered(h, "delivered", 1.0), judge.answered(h, "expired", 2.0)),
+            lambda h: (judge.answered(h, "throttled", 1.0), judge.pushed(h, 0, self.route, 2.0)),
+            lambda h: judge.pushed(h, 0, self.route, 20.1),
+            lambda h: judge.answered(h, "expired", 20.1),
+            lambda h: judge.check_deadline(h, 20.06),
         ):
-            j.counts[1] = 0
-            spoil(self.hand())
-            self.assertEqual(j.counts[1], 1)
+            judge.counts[1] = 0
+            spoil(self.submission())
+            self.assertEqual(judge.counts[1], 1)
         self.broke(1)
 
     def test_a_restarted_relay_has_a_moment_and_one_without_its_folder_no_duty(self):
-        hand = self.hand()
+        submission = self.submission()
         self.relay.ready_at = 19.5
-        self.assertGreater(self.judge.overdue(hand, 20.06), 20.9)
-        self.relay.forgot = lambda hand: True
-        self.assertIsNone(self.judge.overdue(hand, 21.1))
+        self.assertGreater(self.judge.check_deadline(submission, 20.06), 20.9)
+        self.relay.has_lost = lambda submission: True
+        self.assertIsNone(self.judge.check_deadline(submission, 21.1))
         self.broke()
 
     def test_effects_twice_and_false_words(self):
-        j = self.judge
-        once, merge, again = self.hand(topic=2), self.hand(topic=1), self.hand(topic=0)
-        for hand in (once, merge, again):
-            j.ran(hand, self.route, 1.0)
-        j.pushed(merge, 1, self.route, 6.9)
-        j.ran(again, self.route, 9.0)
+        judge = self.judge
+        once, merge, again = self.submission(topic=2), self.submission(topic=1), self.submission(topic=0)
+        for submission in (once, merge, again):
+            judge.took_effect(submission, self.route, 1.0)
+        judge.pushed(merge, 1, self.route, 6.9)
+        judge.took_effect(again, self.route, 9.0)
         self.broke()
-        j.pushed(merge, 2, self.route, 7.2)
-        self.assertEqual(j.counts[2], 1)
-        j.ended(once, "throttled", 2.0)
-        self.assertEqual(j.counts[2], 2)
-        j.ran(once, self.route, 3.0)
-        self.assertEqual(j.counts[2], 4)  # it ran twice, and after it was called harmless
+        judge.pushed(merge, 2, self.route, 7.2)
+        self.assertEqual(judge.counts[2], 1)
+        judge.answered(once, "throttled", 2.0)
+        self.assertEqual(judge.counts[2], 2)
+        judge.took_effect(once, self.route, 3.0)
+        self.assertEqual(judge.counts[2], 4)  # it ran twice, and after it was called harmless
 
     def test_drains_waits_and_turns(self):
-        j, hand = self.judge, self.hand()
-        j.listed(self.relay, "s", False, 1.0)
-        j.pushed(hand, 0, self.route, 2.9)
+        judge, submission = self.judge, self.submission()
+        judge.list_changed(self.relay, "s", False, 1.0)
+        judge.pushed(submission, 0, self.route, 2.9)
         self.broke()
-        j.pushed(hand, 1, self.route, 3.2)
+        judge.pushed(submission, 1, self.route, 3.2)
         self.broke(3)
-        j.listed(self.relay, "s", True, 3.3)
-        j.wait(self.relay, self.route.unit, 5.0)
-        j.pushed(hand, 2, self.route, 4.9)
+        judge.list_changed(self.relay, "s", True, 3.3)
+        judge.wait_requested(self.relay, self.route.unit, 5.0)
+        judge.pushed(submission, 2, self.route, 4.9)
         self.broke(3, 6)
-        j.restarted(self.relay)
-        j.pushed(hand, 3, self.route, 4.95)
+        judge.restarted(self.relay)
+        judge.pushed(submission, 3, self.route, 4.95)
         self.broke(3, 6)
-        first, second = self.hand("2.0", order="k"), self.hand("3.0", order="k")
-        j.pushed(second, 0, self.route, 6.0)
+        first, second = self.submission("2.0", key="k"), self.submission("3.0", key="k")
+        judge.pushed(second, 0, self.route, 6.0)
         self.broke(3, 5, 6)
-        j.counts[5] = 0
-        j.may_still_run(first, 6.0)
-        j.ended(first, "expired", 6.1)
-        j.pushed(second, 1, self.route, 6.5)
-        self.assertEqual(j.counts[5], 1)  # its key rests
-        j.pushed(second, 2, self.route, 7.1)
-        self.assertEqual(j.counts[5], 1)
+        judge.counts[5] = 0
+        judge.may_still_run(first, 6.0)
+        judge.answered(first, "expired", 6.1)
+        judge.pushed(second, 1, self.route, 6.5)
+        self.assertEqual(judge.counts[5], 1)  # its key rests
+        judge.pushed(second, 2, self.route, 7.1)
+        self.assertEqual(judge.counts[5], 1)
 
     def test_pushed_over_counts_only_where_two_thirds_had_seen_it_fail(self):
         u = unit()
         u.witnesses = {"a"}
-        self.judge.fell(u, [(0.0, "a", 1.0), (0.1, "b", 1.0)], 0.2)
+        self.judge.overloaded(u, [(0.0, "a", 1.0), (0.1, "b", 1.0)], 0.2)
         self.broke()
-        self.judge.fell(u, [(0.0, "a", 2.0), (0.1, "b", 1.0)], 0.2)
+        self.judge.overloaded(u, [(0.0, "a", 2.0), (0.1, "b", 1.0)], 0.2)
         self.broke(4)
 
     def test_a_life_is_traced(self):
         self.judge.trace = {"1.0"}
-        hand = self.hand()
-        self.hand("2.0")
-        self.judge.pushed(hand, 0, self.route, 1.0)
+        submission = self.submission()
+        self.submission("2.0")
+        self.judge.pushed(submission, 0, self.route, 1.0)
         told = [line.split(": ")[1] for line in self.judge.trace_lines]
         self.assertEqual(told, ["taken by relay 0, due 20.000", "push 0 to s"])
 
