--- a/ryestack/cli/lab/__init__.py
+++ b/ryestack/cli/lab/__init__.py
@@ -1,4 +1,4 @@
-"""ryestack lab: check, run, sweep, compare, hunt, report, validate, policies, study."""
+"""Commands of `ryestack lab`: check, run, sweep, compare, hunt, report, validate, policies, study."""
 
 import typer
 
--- a/ryestack/cli/lab/compare.py
+++ b/ryestack/cli/lab/compare.py
@@ -1,4 +1,4 @@
-"""ryestack lab compare: two policies on the same days."""
+"""`ryestack lab compare`: compares two policies on the same days."""
 
 from typing import Annotated
 
@@ -12,29 +12,34 @@
 
 
 def compare(
-    a: Annotated[str, typer.Argument(help="A policy.")],
-    b: Annotated[str, typer.Argument(help="Another.")],
-    scenario: Annotated[list[str], typer.Argument(help="Scenarios.")],
-    seeds: Annotated[str, typer.Option(help="As 1-8 or 1,2,5.")] = "1-16",
-    figure: Annotated[str, typer.Option(help="What is compared.")] = "G",
+    a: Annotated[str, typer.Argument(help="The first policy.")],
+    b: Annotated[str, typer.Argument(help="The second policy.")],
+    scenario: Annotated[list[str], typer.Argument(help="Scenario files.")],
+    seeds: Annotated[str, typer.Option(help="A range or a list: 1-8 or 1,2,5.")] = "1-16",
+    figure: Annotated[str, typer.Option(help="The figure to compare.")] = "G",
     cores: Cores = 0,
     as_json: Json = False,
 ) -> None:
-    """Two policies on the same days, with a bootstrap interval; says when it can't tell."""
+    """Compare two policies on the same days, with a bootstrap interval of the difference."""
     require_policies(a, b)
-    found, chosen = {}, seeds_of(seeds)
+    differences, seed_numbers = {}, seeds_of(seeds)
     for path in scenario:
         day = read_scenario(path)
-        jobs = [(day, {}, seed, name) for name in (a, b) for seed in chosen]
+        jobs = [(day, {}, seed, name) for name in (a, b) for seed in seed_numbers]
         with ProgressBar(day.name) as bar:
             rows = sweeping.run(jobs, None, bar, cores)
         if figure not in rows[0]:
-            raise unusable(f"--figure {figure}: there is no such figure")
+            raise unusable(f"--figure {figure}: unknown figure")
         values = [row[figure] for row in rows]
-        found[path] = difference(values[: len(chosen)], values[len(chosen) :])
+        differences[path] = difference(values[: len(seed_numbers)], values[len(seed_numbers) :])
     if as_json:
-        names = ("mean", "low", "high", "days", "told")
-        print_json({path: {name: getattr(d, name) for name in names} for path, d in found.items()})
+        attributes = {"mean": "mean", "low": "low", "high": "high", "days": "days", "told": "significant"}
+        print_json(
+            {
+                path: {key: getattr(d, name) for key, name in attributes.items()}
+                for path, d in differences.items()
+            }
+        )
         return
-    for path, told in found.items():
-        console().print(f"{path}: {told.words(a, b)}", markup=False, soft_wrap=True)
+    for path, result in differences.items():
+        console().print(f"{path}: {result.describe(a, b)}", markup=False, soft_wrap=True)
--- a/ryestack/cli/lab/days.py
+++ b/ryestack/cli/lab/days.py
@@ -1,4 +1,4 @@
-"""ryestack lab check, run, report: one scenario, one day."""
+"""`ryestack lab check`, `run` and `report`: commands for one scenario and one day."""
 
 from pathlib import Path
 from typing import Annotated
@@ -12,35 +12,35 @@
 from ..output import FOUND, Json, Seed, console, print_json, say, table, unusable
 from .options import File, Policy, read_scenario, require_policies
 
-TRACED = 3  # hand-ins whose lives are told where a rule is broken
+MAX_TRACED = 3  # submissions that are traced after rule violations
 
 
 def check(scenario: File, as_json: Json = False) -> None:
-    """Tell all faults of a scenario at once; status 1 if there are any."""
+    """Print all problems of a scenario; status 1 if there are any."""
     try:
-        day, faults = sc.read(scenario), []
+        day, problems = sc.read(scenario), []
     except sc.BadScenario as bad:
         if not Path(scenario).exists():
             raise unusable(str(bad)) from None
-        day, faults = None, str(bad).splitlines()
+        day, problems = None, str(bad).splitlines()
     if as_json:
-        print_json({"good": not faults, "faults": faults})
+        print_json({"good": not problems, "faults": problems})
     else:
-        many = sum(g.count for g in day.group) if day else 0
-        for line in faults or [f"good: {day.name}, {day.fleet.relays} relays, {many} destinations"]:
+        count = sum(g.count for g in day.group) if day else 0
+        for line in problems or [f"good: {day.name}, {day.fleet.relays} relays, {count} destinations"]:
             console().print(line, markup=False, soft_wrap=True)
-    raise typer.Exit(FOUND if faults else 0)
+    raise typer.Exit(FOUND if problems else 0)
 
 
 def run(
     scenario: File,
     seed: Seed = 1,
     policy: Policy = "ryestack",
-    trace: Annotated[list[str] | None, typer.Option(help="A hand-in's id, as 12.0; its whole life.")] = None,
-    beside: Annotated[bool, typer.Option("--beside", help="The floor and the ceiling too.")] = False,
+    trace: Annotated[list[str] | None, typer.Option(help="Trace a submission by id, as in 12.0.")] = None,
+    beside: Annotated[bool, typer.Option("--beside", help="Play the floor and the ceiling too.")] = False,
     as_json: Json = False,
 ) -> None:
-    """Play one day; status 1 if a rule is broken. The same seed gives the same bytes."""
+    """Play one day; status 1 if a rule is broken. The result depends only on scenario, seed and policy."""
     day = read_scenario(scenario)
     require_policies(policy)
     found = play(day, seed, policy, trace or ())
@@ -48,8 +48,8 @@
     if beside:
         floor, ceiling = (play(day, seed, name).summary["G"] for name in (FLOOR, CEILING))
         result |= {"floor": floor, "ceiling": ceiling, "score": share_of_best(result["G"], floor, ceiling)}
-    if rules_broken(result) and not trace:  # the lives of those that broke one
-        names = [line.split(", ")[1].split(":")[0] for line in result["broken"][:TRACED]]
+    if rules_broken(result) and not trace:  # trace the submissions that broke one
+        names = [line.split(", ")[1].split(":")[0] for line in result["broken"][:MAX_TRACED]]
         found.trace = play(day, seed, policy, names).trace
     if as_json:
         print_json({**result, "trace": found.trace})
@@ -69,11 +69,11 @@
 
 def report(
     scenario: File,
-    out: Annotated[str, typer.Argument(help="The HTML page.")],
+    out: Annotated[str, typer.Argument(help="The HTML file to write.")],
     seed: Seed = 1,
     policy: Policy = "ryestack",
 ) -> None:
-    """Play one day and write a page of it: plots, tables, heat map; readable without a network."""
+    """Play one day and write an HTML page with plots, tables and a heat map; readable offline."""
     from ...lab.report import of_day
 
     require_policies(policy)
--- a/ryestack/cli/lab/hunt.py
+++ b/ryestack/cli/lab/hunt.py
@@ -1,4 +1,4 @@
-"""ryestack lab hunt: the days on which a policy does worst."""
+"""`ryestack lab hunt`: searches for the days on which a policy does worst."""
 
 from pathlib import Path
 from typing import Annotated
@@ -15,25 +15,25 @@
 def hunt(
     scenario: File,
     policy: Policy = "ryestack",
-    budget: Annotated[int, typer.Option(min=1, help="Days drawn.")] = 64,
-    keep: Annotated[int, typer.Option(min=1, help="Of the worst, cut down and saved.")] = 1,
-    folder: Annotated[str, typer.Option(help="Where found scenarios go.")] = "found",
+    budget: Annotated[int, typer.Option(min=1, help="Number of days to draw.")] = 64,
+    keep: Annotated[int, typer.Option(min=1, help="Number of the worst days to minimize and save.")] = 1,
+    folder: Annotated[str, typer.Option(help="Folder for the scenarios found.")] = "found",
     seed: Seed = 1,
     cores: Cores = 0,
     as_json: Json = False,
 ) -> None:
-    """Days on which a policy does worst or breaks a rule, each cut down to the least that still does it."""
+    """Search for days on which a policy does worst or breaks a rule, and minimize each of them."""
     day = read_scenario(scenario)
     require_policies(policy)
     cores = cores or -1
     with ProgressBar("days") as bar:
         found = hunting.search(day, policy, budget, seed, bar, cores)
     worst = []
-    for one in found[:keep]:
-        say(f"seed {one.seed}: loses {one.lost:.3f}, {one.broken} rules broken; cutting it down")
-        worst.append((one, hunting.shrink(one, policy, say, cores)))
+    for candidate in found[:keep]:
+        say(f"seed {candidate.seed}: loses {candidate.lost:.3f}, {candidate.broken} rules broken; minimizing")
+        worst.append((candidate, hunting.shrink(candidate, policy, say, cores)))
     Path(folder).mkdir(parents=True, exist_ok=True)
-    rows = [_save(day, one, least, folder) for one, least in worst]
+    rows = [_save(day, original, minimized, folder) for original, minimized in worst]
     if as_json:
         print_json({"days": len(found), "worst": rows, "mean_lost": sum(f.lost for f in found) / len(found)})
     else:
@@ -44,16 +44,16 @@
     raise typer.Exit(FOUND if any(r["broken"] for r in rows) else 0)
 
 
-def _save(day: sc.Scenario, found: hunting.Found, least: hunting.Found, folder: str) -> dict:
-    """Write the day cut down as a scenario; returns a row of it."""
+def _save(day: sc.Scenario, found: hunting.Found, minimized: hunting.Found, folder: str) -> dict:
+    """Write a minimized day as a scenario; returns its row of the result."""
     name = f"{day.name}-{found.seed}"
     path = str(Path(folder) / f"{name}.toml")
-    sc.write(hunting.copy_of(least.day, name=name), path)
+    sc.write(hunting.copy_of(minimized.day, name=name), path)
     return {
         "file": path,
         "seed": found.seed,
-        "lost": least.lost,
-        "broken": least.broken,
-        "faults": [fault.kind for fault in least.day.fault],
+        "lost": minimized.lost,
+        "broken": minimized.broken,
+        "faults": [fault.kind for fault in minimized.day.fault],
         "first": {"lost": found.lost, "broken": found.broken, "faults": found.summary["faults"]},
     }
--- a/ryestack/cli/lab/progress.py
+++ b/ryestack/cli/lab/progress.py
@@ -1,4 +1,4 @@
-"""How far a long command has come."""
+"""Progress of long-running commands."""
 
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
@@ -6,14 +6,14 @@
 
 
 class ProgressBar:
-    """Progress with the time left, on a terminal; elsewhere a plain line at each tenth."""
+    """A progress bar with the remaining time on a terminal; elsewhere a plain line for each 10%."""
 
-    def __init__(self, what: str):
-        screen = console(err=True)
-        columns = TextColumn(what + " {task.completed}/{task.total}"), BarColumn(), TimeRemainingColumn()
-        self.bar = Progress(*columns, console=screen, transient=True, disable=not screen.is_terminal)
-        self.task, self.what = self.bar.add_task("", total=None), what
-        self.plain, self.said = not screen.is_terminal, 0
+    def __init__(self, label: str):
+        stderr = console(err=True)
+        columns = TextColumn(label + " {task.completed}/{task.total}"), BarColumn(), TimeRemainingColumn()
+        self.bar = Progress(*columns, console=stderr, transient=True, disable=not stderr.is_terminal)
+        self.task, self.label = self.bar.add_task("", total=None), label
+        self.plain, self.reported_tenths = not stderr.is_terminal, 0
 
     def __enter__(self):
         self.bar.__enter__()
@@ -22,8 +22,8 @@
     def __exit__(self, *more):
         return self.bar.__exit__(*more)
 
-    def __call__(self, done: int, of: int) -> None:
-        self.bar.update(self.task, completed=done, total=of)
-        if self.plain and of and done * 10 // of > self.said:
-            self.said = done * 10 // of
-            say(f"{self.what} {done}/{of}")
+    def __call__(self, done: int, total: int) -> None:
+        self.bar.update(self.task, completed=done, total=total)
+        if self.plain and total and done * 10 // total > self.reported_tenths:
+            self.reported_tenths = done * 10 // total
+            say(f"{self.label} {done}/{total}")
--- a/ryestack/cli/lab/references.py
+++ b/ryestack/cli/lab/references.py
@@ -1,4 +1,4 @@
-"""ryestack lab validate, policies: what the emulator is held against."""
+"""`ryestack lab validate` and `policies`: the references of the emulator."""
 
 from typing import Annotated
 
@@ -12,16 +12,16 @@
 
 
 def validate(
-    count: Annotated[int, typer.Option(min=1000, help="Calls in a run.")] = 40_000,
-    runs: Annotated[int, typer.Option(min=2, help="Independent runs.")] = 24,
+    count: Annotated[int, typer.Option(min=1000, help="Calls of each run.")] = 40_000,
+    runs: Annotated[int, typer.Option(min=2, help="Number of independent runs.")] = 24,
     seed: Seed = 1,
     cores: Cores = 0,
     as_json: Json = False,
 ) -> None:
-    """The world's queues beside theory; status 1 where theory is outside an interval."""
-    from ...lab.validity import check as held
+    """Compare the emulated queues with theory; status 1 if theory is outside an interval."""
+    from ...lab.validity import check
 
-    rows = held(count, runs, seed, cores or -1)
+    rows = check(count, runs, seed, cores or -1)
     if as_json:
         print_json([{name: getattr(row, name) for name in FIELDS} for row in rows])
     else:
@@ -37,7 +37,7 @@
 
 
 def policies() -> None:
-    """The policies there are to compare with."""
+    """List the policies."""
     rows = [
         [name, (kind.__doc__ or "the decision module").strip().splitlines()[0]]
         for name, kind in POLICIES.items()
--- a/ryestack/cli/lab/sweep.py
+++ b/ryestack/cli/lab/sweep.py
@@ -1,4 +1,4 @@
-"""ryestack lab sweep: days over keys, seeds and policies."""
+"""`ryestack lab sweep`: plays days over keys, seeds and policies."""
 
 import json
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 def values_of(text: str) -> tuple[str, list]:
-    """KEY=V1,V2,... with values as JSON has them, else texts."""
+    """The key and values of KEY=V1,V2,...; values that are not JSON are strings."""
     key, equals, rest = text.partition("=")
     if not key or not equals or not rest:
         raise unusable(f"--vary {text}: must be KEY=V1,V2,...")
@@ -31,31 +31,31 @@
 def sweep(
     scenario: File,
     vary: Annotated[
-        list[str] | None, typer.Option(help="KEY=V1,V2,...; rows by number, as group.0.headroom.")
+        list[str] | None, typer.Option(help="KEY=V1,V2,...; list rows by number, as in group.0.headroom.")
     ] = None,
-    seeds: Annotated[str, typer.Option(help="As 1-8 or 1,2,5.")] = "1-8",
+    seeds: Annotated[str, typer.Option(help="A range or a list: 1-8 or 1,2,5.")] = "1-8",
     policy: Annotated[
-        list[str] | None, typer.Option(help="By name, or ryestack@REV; may come again.")
+        list[str] | None, typer.Option(help="A policy name, or ryestack@REV; may be repeated.")
     ] = None,
     draw: Annotated[
-        int, typer.Option(min=0, help="So many random draws from [least, most], in place of a grid.")
+        int, typer.Option(min=0, help="Number of random points from [minimum, maximum], instead of a grid.")
     ] = 0,
-    draw_seed: Annotated[int, typer.Option(min=0, help="Of those draws.")] = 1,
-    out: Annotated[str | None, typer.Option(help="JSON lines; a file that is there is gone on with.")] = None,
-    report: Annotated[str | None, typer.Option(help="An HTML page of it.")] = None,
-    figure: Annotated[str, typer.Option(help="What the tables show.")] = "G",
+    draw_seed: Annotated[int, typer.Option(min=0, help="Seed of the random points.")] = 1,
+    out: Annotated[str | None, typer.Option(help="JSON lines file of results; resumed if it exists.")] = None,
+    report: Annotated[str | None, typer.Option(help="HTML page to write.")] = None,
+    figure: Annotated[str, typer.Option(help="The figure of the tables.")] = "G",
     cores: Cores = 0,
     as_json: Json = False,
 ) -> None:
-    """Days over keys, seeds and policies, on all cores. Ctrl-C keeps what is done; the same call goes on."""
+    """Play days over keys, seeds and policies, on all cores. Ctrl-C keeps finished days; a rerun resumes."""
     keys, policies = dict(map(values_of, vary or [])), policy or ["ryestack"]
     require_policies(*policies)
     try:
-        given, _ = sc.read_table(scenario)
-        points = sweeping.drawn(keys, draw, draw_seed) if draw else sweeping.grid(keys)
-        jobs = sweeping.jobs_of(given, points, seeds_of(seeds), policies)
-    except sc.BadScenario as bad:
-        raise unusable(str(bad)) from None
+        base, _ = sc.read_table(scenario)
+        points = sweeping.random_points(keys, draw, draw_seed) if draw else sweeping.grid(keys)
+        jobs = sweeping.jobs_of(base, points, seeds_of(seeds), policies)
+    except sc.BadScenario as error:
+        raise unusable(str(error)) from None
     with ProgressBar("days") as bar:
         rows = sweeping.run(jobs, out, bar, cores)
     if report:
@@ -76,8 +76,8 @@
     cells = []
     for point in points:
         for name in policies:
-            mine = [r for r in rows if r["keys"] == point and r["policy"] == name]
-            mean, low, high = interval([r[figure] for r in mine])
-            broken = sum(rules_broken(r) > 0 for r in mine)
+            days = [r for r in rows if r["keys"] == point and r["policy"] == name]
+            mean, low, high = interval([r[figure] for r in days])
+            broken = sum(rules_broken(r) > 0 for r in days)
             cells.append([*point.values(), name, f"{mean:.4f}", f"{low:.4f} to {high:.4f}", broken])
     return cells
--- a/ryestack/lab/plots.py
+++ b/ryestack/lab/plots.py
@@ -1,4 +1,4 @@
-"""Plots as PNG bytes, for reports and studies. matplotlib without a screen."""
+"""Plots as PNG bytes for reports and studies; matplotlib without a display."""
 
 import io
 
@@ -20,7 +20,7 @@
 
 
 def over_time(rows: dict[str, np.ndarray], title: str, unit: str, spans=()) -> bytes:
-    """Lines over seconds; spans: (begin, end, label) of faults, drawn behind."""
+    """Lines over seconds; spans: (begin, end, label) of faults, shaded in the background."""
     figure, axes = plt.subplots(figsize=SIZE)
     for name, values in rows.items():
         axes.plot(np.arange(len(values)), values, label=name, linewidth=1.2)
@@ -37,11 +37,10 @@
 
 
 def heat(share: np.ndarray, title: str) -> bytes:
-    """Delivered over handed in, by destination and second of arrival; the busiest hundred, where there are
-    more."""
+    """Heat map of the delivered share, by destination and second of arrival."""
     figure, axes = plt.subplots(figsize=(9.0, min(6.0, 1.2 + 0.06 * len(share))))
-    seen = axes.imshow(share, aspect="auto", vmin=0.0, vmax=1.0, cmap="RdYlGn", interpolation="nearest")
-    figure.colorbar(seen, ax=axes, fraction=0.02)
+    image = axes.imshow(share, aspect="auto", vmin=0.0, vmax=1.0, cmap="RdYlGn", interpolation="nearest")
+    figure.colorbar(image, ax=axes, fraction=0.02)
     axes.set_xlabel("second of arrival")
     axes.set_ylabel("destination")
     axes.set_title(title, fontsize=10, loc="left")
@@ -49,6 +48,7 @@
 
 
 def histogram(values: np.ndarray, title: str) -> bytes:
+    """Histogram of delivery times in seconds, both axes logarithmic."""
     figure, axes = plt.subplots(figsize=SIZE)
     if len(values):
         axes.hist(values, bins=np.geomspace(max(1e-3, values.min()), max(2e-3, values.max()), 60))
@@ -63,7 +63,7 @@
 def curves(
     x: list, rows: dict[str, list[tuple[float, float, float]]], title: str, across: str, up: str, log=False
 ):
-    """Curves with intervals: rows of (mean, low, high) by name, one for each x."""
+    """Curves with intervals; rows: by name, (mean, low, high) for each x."""
     figure, axes = plt.subplots(figsize=(7.0, 4.0))
     for i, (name, found) in enumerate(rows.items()):
         mean, low, high = (np.array(column, float) for column in zip(*found, strict=True))
--- a/ryestack/lab/policies/__init__.py
+++ b/ryestack/lab/policies/__init__.py
@@ -1,7 +1,7 @@
-"""Policies to compare with, by name. They are for the lab only: no relay runs them.
+"""Reference policies by name, for comparison in the lab only: no relay runs them.
 
-All keep what a client may count on (ends in time, effects not twice, waits, drains, order); they differ in
-where a push goes and whether it is made again. Rule 4 is none of theirs.
+All of them keep the guarantees to clients: final answers in time, no repeated effects, requested waits,
+drains and order. They differ in the choice of the route and in retries. None of them implements rule 4.
 """
 
 from ...brain import Brain
--- a/ryestack/lab/policies/base.py
+++ b/ryestack/lab/policies/base.py
@@ -1,5 +1,4 @@
-"""What all policies for comparison share: the module's interface, parking, timers, and what must not be
-done."""
+"""The base of the reference policies: the interface of a policy, parking, timers and the guarantees."""
 
 import heapq
 import random
@@ -10,20 +9,32 @@
 from ...brain import MAY_STILL_RUN, NEVER_RAN
 from ...interface import Effect, EndpointStatus, Result
 
-MARGIN = 0.05  # seconds before its time is up in which one is given up
-EARLY = 0.05  # seconds before a window of a collapsible one closes
-NAP = 0.1  # seconds until one is looked at again that no route takes
+DEADLINE_MARGIN_S = 0.05  # before its deadline a notification is given up
+WINDOW_MARGIN_S = 0.05  # before the window of a collapsible notification closes, repeats end
+RECHECK_S = 0.1  # until a notification without a usable route is tried again
 
 
 class Held:
-    __slots__ = ("at", "id", "key", "maybe_at", "n", "out", "pushes", "state", "topic")
-
-    def __init__(self, n: interface.Notification, topic: interface.TopicType):
-        self.n, self.id, self.topic = n, n.id, topic
-        self.key = n.key if topic.keep_order else ""
-        self.pushes, self.maybe_at, self.out, self.state, self.at = (
-            n.pushes,
-            n.may_have_run_at,
+    """A notification of the policy; state: parked, ready, out or over; ready_at: end of its parking."""
+
+    __slots__ = (
+        "id",
+        "in_flight",
+        "key",
+        "may_have_run_at",
+        "notification",
+        "pushes",
+        "ready_at",
+        "state",
+        "topic",
+    )
+
+    def __init__(self, notification: interface.Notification, topic: interface.TopicType):
+        self.notification, self.id, self.topic = notification, notification.id, topic
+        self.key = notification.key if topic.keep_order else ""
+        self.pushes, self.may_have_run_at, self.in_flight, self.state, self.ready_at = (
+            notification.pushes,
+            notification.may_have_run_at,
             0,
             "parked",
             0.0,
@@ -31,41 +42,43 @@
 
 
 class Policy:
-    """choose() names a route or none, again() says when a failed one may be pushed again or that it ends."""
+    """The interface of a policy; subclasses define the choice of routes and the delay of retries."""
 
-    TIMEOUT = 3.0  # seconds, of a push, once-only ones apart
+    TIMEOUT = 3.0  # seconds of a push, except once-only ones
 
     def __init__(self, settings: interface.Settings, seed: int):
-        self.set, self.random, self.now = settings, random.Random(seed), 0.0
-        self.topics = {t.name: t for t in settings.topic_types}
-        self.kinds = {k.name: k for k in settings.kinds}
-        self.dests: dict[int, list[str]] = {}
-        self.listed: dict[str, interface.Endpoint] = {}
-        self.waits: dict[object, float] = {}  # destination, or route where apart -> until
+        self.settings, self.rng, self.now = settings, random.Random(seed), 0.0
+        self.topics = {topic.name: topic for topic in settings.topic_types}
+        self.kinds = {kind.name: kind for kind in settings.kinds}
+        self.routes_by_destination: dict[int, list[str]] = {}
+        self.endpoints: dict[str, interface.Endpoint] = {}
+        self.wait_until: dict[object, float] = {}  # destination, or route if limits are per route -> until
         self.held: dict[str, Held] = {}
-        self.out: dict[tuple[str, int], tuple[Held, str, float]] = {}
-        self.flying: dict[str, int] = {}
-        self.slots, self.ready, self.later, self.number = settings.slots, deque(), [], 0
-        self.keys: dict[str, deque] = {}
-        self.rests: dict[str, float] = {}
-        self.acts, self.woken, self.leaves = [], inf, inf
+        self.in_flight: dict[tuple[str, int], tuple[Held, str, float]] = {}
+        self.in_flight_by_route: dict[str, int] = {}
+        self.slots, self.ready, self.timers, self.sequence = settings.slots, deque(), [], 0
+        self.key_queues: dict[str, deque] = {}
+        self.key_rests: dict[str, float] = {}
+        self.actions, self.timer_at, self.shutdown_at = [], inf, inf
 
     # -- to be overridden ---------------------------------------------------------------------------
 
     def choose(self, held: Held, routes: list[str]) -> str | None:
-        return routes[int(self.random.random() * len(routes))]
+        """The route of the next push, None to wait."""
+        return routes[int(self.rng.random() * len(routes))]
 
-    def again(self, held: Held, result: Result) -> float | None:
-        """Seconds until it may be pushed again, None if it ends."""
+    def retry_delay(self, held: Held, result: Result) -> float | None:
+        """Seconds until the next push of a failed notification, None to give it up."""
         return None
 
-    def heard(self, route: str, result: Result, elapsed: float, held: Held) -> None:
-        """An outcome, for what a policy learns."""
+    def on_result(self, route: str, result: Result, elapsed: float, held: Held) -> None:
+        """Learn from the result of a push; elapsed: seconds."""
 
-    # -- the module's interface ---------------------------------------------------------------------
+    # -- interface of a policy ----------------------------------------------------------------------
 
     def round(self, now: float, events: list) -> list:
-        self.now, self.acts = now, []
+        """Handle the events of a round; returns the actions."""
+        self.now, self.actions = now, []
         for event in events:
             kind = type(event)
             if kind is interface.Notification:
@@ -75,107 +88,110 @@
             elif kind is interface.ListUpdate:
                 self.on_list(event)
             elif kind is interface.ShuttingDown:
-                self.leaves = event.until
+                self.shutdown_at = event.until
             elif kind is interface.Withdrawn and event.id in self.held:
                 self.forget(self.held[event.id])
-        while self.later and self.later[0][0] <= now:
-            _, _, name = heapq.heappop(self.later)
+        while self.timers and self.timers[0][0] <= now:
+            _, _, name = heapq.heappop(self.timers)
             held = self.held.get(name)
             if held is None:
                 continue
-            if now >= held.n.due - MARGIN - 1e-9:
+            if now >= held.notification.due - DEADLINE_MARGIN_S - 1e-9:
                 self.give_up(held)
-            elif held.state == "parked" and held.at <= now:
+            elif held.state == "parked" and held.ready_at <= now:
                 held.state = "ready"
                 self.ready.append(name)
-        self.serve()
-        if self.later and self.later[0][0] < self.woken - 1e-9 or self.woken <= now:
-            self.woken = self.later[0][0] if self.later else inf
-            if self.woken < inf:
-                self.acts.append(interface.SetTimer(max(0.0, self.woken - now)))
-        return self.acts
+        self.dispatch()
+        if self.timers and self.timers[0][0] < self.timer_at - 1e-9 or self.timer_at <= now:
+            self.timer_at = self.timers[0][0] if self.timers else inf
+            if self.timer_at < inf:
+                self.actions.append(interface.SetTimer(max(0.0, self.timer_at - now)))
+        return self.actions
 
     def on_list(self, update: interface.ListUpdate) -> None:
         if update.whole:
-            self.dests, self.listed = {}, {}
-        for e in update.endpoints:
-            row = self.dests.setdefault(e.destination, [])
-            if e.status is EndpointStatus.READY:
-                self.listed[e.id] = e
-                if e.id not in row:
-                    row.append(e.id)
-                    row.sort()
+            self.routes_by_destination, self.endpoints = {}, {}
+        for endpoint in update.endpoints:
+            routes = self.routes_by_destination.setdefault(endpoint.destination, [])
+            if endpoint.status is EndpointStatus.READY:
+                self.endpoints[endpoint.id] = endpoint
+                if endpoint.id not in routes:
+                    routes.append(endpoint.id)
+                    routes.sort()
             else:
-                self.listed.setdefault(e.id, e)
-                if e.id in row:
-                    row.remove(e.id)
+                self.endpoints.setdefault(endpoint.id, endpoint)
+                if endpoint.id in routes:
+                    routes.remove(endpoint.id)
 
-    def on_notification(self, n: interface.Notification) -> None:
-        held = self.held[n.id] = Held(n, self.topics[n.topic_type])
+    def on_notification(self, notification: interface.Notification) -> None:
+        held = self.held[notification.id] = Held(notification, self.topics[notification.topic_type])
         if held.key:
-            self.keys.setdefault(held.key, deque()).append(held)
-        self.alarm(n.due - MARGIN, held)
+            self.key_queues.setdefault(held.key, deque()).append(held)
+        self.set_timer(notification.due - DEADLINE_MARGIN_S, held)
         if not self.may_push_again(held):
             return self.give_up(held)
         held.state = "ready"
-        self.ready.append(n.id)
+        self.ready.append(notification.id)
         return None
 
-    def on_outcome(self, o: interface.Outcome) -> None:
-        if (o.id, o.push) not in self.out:
+    def on_outcome(self, outcome: interface.Outcome) -> None:
+        if (outcome.id, outcome.push) not in self.in_flight:
             return
-        held, route, sent = self.out.pop((o.id, o.push))
+        held, route, sent = self.in_flight.pop((outcome.id, outcome.push))
         self.slots += 1
-        self.flying[route] -= 1
-        held.out -= 1
-        if o.wait > 0.0:
-            self.waits[self.unit(route)] = max(
-                self.waits.get(self.unit(route), 0.0), self.now + o.wait + 0.002
+        self.in_flight_by_route[route] -= 1
+        held.in_flight -= 1
+        if outcome.wait > 0.0:
+            self.wait_until[self.wait_scope(route)] = max(
+                self.wait_until.get(self.wait_scope(route), 0.0), self.now + outcome.wait + 0.002
             )
-        if o.result not in NEVER_RAN:
-            held.maybe_at = min(held.maybe_at, sent)
-        if held.key and o.result in MAY_STILL_RUN:
-            self.rests[held.key] = self.now + self.set.rules.key_rest
-        self.heard(route, o.result, o.elapsed, held)
+        if outcome.result not in NEVER_RAN:
+            held.may_have_run_at = min(held.may_have_run_at, sent)
+        if held.key and outcome.result in MAY_STILL_RUN:
+            self.key_rests[held.key] = self.now + self.settings.rules.key_rest
+        self.on_result(route, outcome.result, outcome.elapsed, held)
         if held.state == "over":
-            return self.next_turn(held)
-        if o.ended or o.result is Result.DELIVERED:
+            return self.release_key(held)
+        if outcome.ended or outcome.result is Result.DELIVERED:
             return self.forget(held)
-        wait = self.again(held, o.result) if self.may_push_again(held) else None
+        wait = self.retry_delay(held, outcome.result) if self.may_push_again(held) else None
         if wait is None:
             return self.give_up(held)
         self.park(held, wait)
         return None
 
-    # -- holding ------------------------------------------------------------------------------------
+    # -- held notifications -------------------------------------------------------------------------
 
-    def unit(self, route: str):
-        e = self.listed[route]
-        kind = self.kinds.get(e.kind)
-        return route if kind and kind.per_route else e.destination
+    def wait_scope(self, route: str):
+        """What a requested wait applies to: the route, or its destination."""
+        endpoint = self.endpoints[route]
+        kind = self.kinds.get(endpoint.kind)
+        return route if kind and kind.per_route else endpoint.destination
 
-    def alarm(self, when: float, held: Held) -> None:
-        self.number += 1
-        heapq.heappush(self.later, (when, self.number, held.id))
+    def set_timer(self, time: float, held: Held) -> None:
+        self.sequence += 1
+        heapq.heappush(self.timers, (time, self.sequence, held.id))
 
     def park(self, held: Held, wait: float) -> None:
-        held.state, held.at = "parked", self.now + wait
-        self.alarm(held.at, held)
+        held.state, held.ready_at = "parked", self.now + wait
+        self.set_timer(held.ready_at, held)
 
     def may_push_again(self, held: Held) -> bool:
-        if held.pushes >= self.set.max_pushes or self.now >= held.n.due - MARGIN:
+        """Whether another push is allowed by count, deadline and effect."""
+        if held.pushes >= self.settings.max_pushes or self.now >= held.notification.due - DEADLINE_MARGIN_S:
             return False
-        if held.maybe_at < inf and held.topic.effect is Effect.ONCE_ONLY:
+        if held.may_have_run_at < inf and held.topic.effect is Effect.ONCE_ONLY:
             return False
-        closes = held.maybe_at + held.topic.window - EARLY
-        return held.maybe_at == inf or held.topic.effect is Effect.REPEATABLE or self.now < closes
+        closes = held.may_have_run_at + held.topic.window - WINDOW_MARGIN_S
+        return held.may_have_run_at == inf or held.topic.effect is Effect.REPEATABLE or self.now < closes
 
-    def in_turn(self, held: Held) -> bool:
+    def is_first_of_key(self, held: Held) -> bool:
         if not held.key:
             return True
-        return self.keys[held.key][0] is held and self.now >= self.rests.get(held.key, 0.0)
+        return self.key_queues[held.key][0] is held and self.now >= self.key_rests.get(held.key, 0.0)
 
-    def serve(self) -> None:
+    def dispatch(self) -> None:
+        """Push ready notifications while slots are free."""
         for _ in range(len(self.ready)):
             if self.slots <= 0:
                 return
@@ -186,43 +202,46 @@
                 self.give_up(held)
                 continue
             routes = [
-                r
-                for r in self.dests.get(held.n.destination, ())
-                if self.waits.get(self.unit(r), 0.0) <= self.now
+                route
+                for route in self.routes_by_destination.get(held.notification.destination, ())
+                if self.wait_until.get(self.wait_scope(route), 0.0) <= self.now
             ]
             route = (
                 self.choose(held, routes)
-                if routes and self.in_turn(held) and self.now < self.leaves
+                if routes and self.is_first_of_key(held) and self.now < self.shutdown_at
                 else None
             )
             if route is None:
-                self.park(held, NAP)
+                self.park(held, RECHECK_S)
             else:
                 self.push(held, route)
 
     def push(self, held: Held, route: str) -> None:
         timeout = inf if held.topic.effect is Effect.ONCE_ONLY else self.TIMEOUT
-        self.out[held.id, held.pushes] = held, route, self.now
-        self.acts.append(
-            interface.Push(held.id, route, min(timeout, max(0.01, held.n.due - MARGIN - self.now)))
+        self.in_flight[held.id, held.pushes] = held, route, self.now
+        self.actions.append(
+            interface.Push(
+                held.id, route, min(timeout, max(0.01, held.notification.due - DEADLINE_MARGIN_S - self.now))
+            )
         )
-        held.state, held.out, held.pushes = "out", held.out + 1, held.pushes + 1
+        held.state, held.in_flight, held.pushes = "out", held.in_flight + 1, held.pushes + 1
         self.slots -= 1
-        self.flying[route] = self.flying.get(route, 0) + 1
+        self.in_flight_by_route[route] = self.in_flight_by_route.get(route, 0) + 1
 
     def give_up(self, held: Held) -> None:
         effect = held.topic.effect
-        harmless = held.maybe_at == inf and not held.out or effect is not Effect.ONCE_ONLY
-        self.acts.append(interface.Throttle(held.id) if harmless else interface.Expire(held.id))
+        harmless = held.may_have_run_at == inf and not held.in_flight or effect is not Effect.ONCE_ONLY
+        self.actions.append(interface.Throttle(held.id) if harmless else interface.Expire(held.id))
         self.forget(held)
 
     def forget(self, held: Held) -> None:
         self.held.pop(held.id, None)
         held.state = "over"
-        self.next_turn(held)
-
-    def next_turn(self, held: Held) -> None:
-        if held.key and held.state == "over" and not held.out:
-            turns = self.keys[held.key]
-            if held in turns:
-                turns.remove(held)
+        self.release_key(held)
+
+    def release_key(self, held: Held) -> None:
+        """Let the next notification of a key go."""
+        if held.key and held.state == "over" and not held.in_flight:
+            queue = self.key_queues[held.key]
+            if held in queue:
+                queue.remove(held)
--- a/ryestack/lab/policies/best.py
+++ b/ryestack/lab/policies/best.py
@@ -22,11 +22,11 @@
         self.world, self.relay = world, relay
         if not hasattr(world, "best_in_flight"):
             world.best_in_flight = {}  # route -> pushes of all relays without an outcome
-        self.in_flight_everywhere = world.best_in_flight
+        self.fleet_in_flight = world.best_in_flight
 
-    def serve(self) -> None:
+    def dispatch(self) -> None:
         self.ready = type(self.ready)(sorted(self.ready, key=self.priority))
-        super().serve()
+        super().dispatch()
 
     def priority(self, name: str):
         """Sort key: the most benefit first, then the earliest deadline."""
@@ -34,31 +34,31 @@
         if held is None:
             return (0.0, 0.0)
         arrival = int(name.partition(".")[0])
-        late = self.now > held.n.due - held.topic.ttl + held.topic.objective
+        late = self.now > held.notification.due - held.topic.ttl + held.topic.objective
         return (
             -held.topic.benefit * self.world.arrivals.benefit_factor[arrival] * (0.5 if late else 1.0),
-            held.n.due,
+            held.notification.due,
         )
 
     def choose(self, held: Held, routes: list[str]) -> str | None:
         found = [r for r in routes if self.runs(held, r)]
         return min(
             found,
-            key=lambda r: self.in_flight_everywhere.get(r, 0) / self.world.layout.routes[r].slots,
+            key=lambda r: self.fleet_in_flight.get(r, 0) / self.world.layout.routes[r].slots,
             default=None,
         )
 
     def runs(self, held: Held, name: str) -> bool:
         """Whether a push to a route would run at once or after a short time in its queue."""
         route, now = self.world.layout.routes[name], self.world.clock.now
-        unit, in_flight = route.unit, self.in_flight_everywhere.get(name, 0)
+        unit, in_flight = route.unit, self.fleet_in_flight.get(name, 0)
         if any(fault.kind not in ("slow", "tail") for fault in unit.faults) or route.status != "up":
             return False
         if self.world.network.partitions and self.world.network.is_partitioned(self.relay, route):
             return False
         if in_flight >= max(route.slots + 1.0, route.slots * (1.0 + QUEUED_SHARE)):
             return False
-        coming = sum(self.in_flight_everywhere.get(r.id, 0) for r in unit.routes) - sum(
+        coming = sum(self.fleet_in_flight.get(r.id, 0) for r in unit.routes) - sum(
             r.running + len(r.queue) for r in unit.routes
         )
         if unit.limit.available(now) - max(0, coming) < 1.0:
@@ -74,12 +74,12 @@
 
     def push(self, held: Held, route: str) -> None:
         super().push(held, route)
-        self.in_flight_everywhere[route] = self.in_flight_everywhere.get(route, 0) + 1
+        self.fleet_in_flight[route] = self.fleet_in_flight.get(route, 0) + 1
 
-    def heard(self, route: str, result: Result, elapsed: float, held: Held) -> None:
-        self.in_flight_everywhere[route] -= 1
+    def on_result(self, route: str, result: Result, elapsed: float, held: Held) -> None:
+        self.fleet_in_flight[route] -= 1
 
-    def again(self, held: Held, result: Result) -> float:
+    def retry_delay(self, held: Held, result: Result) -> float:
         return RECHECK_S
 
     def park(self, held: Held, wait: float) -> None:
--- a/ryestack/lab/policies/textbook.py
+++ b/ryestack/lab/policies/textbook.py
@@ -1,63 +1,63 @@
-"""What textbooks do: one try, random, round robin, least in flight, two choices, retry budgets, adaptive
-limits."""
+"""Textbook policies: one try, random, round robin, least in flight, two choices, retry budget, adaptive
+limit."""
 
 from ...interface import Result
 from .base import Held, Policy
 
-BACKOFF, MOST_BACKOFF = 0.1, 3.0  # seconds, doubled each time
+BACKOFF_S, MAX_BACKOFF_S = 0.1, 3.0  # doubled for each push
 
 
 class OneTry(Policy):
-    """The floor: one push, in the order of arrival, and what fails has failed."""
+    """The floor: one push in the order of arrival, no retries."""
 
     def choose(self, held: Held, routes: list[str]) -> str:
         return routes[0]
 
 
 class RandomRoute(Policy):
-    """Any route; again at once, as often as is allowed."""
+    """A random route; retries at once, as often as is allowed."""
 
-    def again(self, held: Held, result: Result) -> float:
+    def retry_delay(self, held: Held, result: Result) -> float:
         return 0.0
 
 
-class Backing(Policy):
-    """Again after a wait that doubles, with full jitter."""
+class ExponentialBackoff(Policy):
+    """Retries with exponential backoff and full jitter."""
 
-    def again(self, held: Held, result: Result) -> float:
-        return self.random.random() * min(MOST_BACKOFF, BACKOFF * 2.0**held.pushes)
+    def retry_delay(self, held: Held, result: Result) -> float:
+        return self.rng.random() * min(MAX_BACKOFF_S, BACKOFF_S * 2.0**held.pushes)
 
 
-class RoundRobin(Backing):
-    """Routes in turn; again after a wait that doubles."""
+class RoundRobin(ExponentialBackoff):
+    """Routes in turn; retries with exponential backoff."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
-        self.turns: dict[int, int] = {}
+        self.next_route: dict[int, int] = {}
 
     def choose(self, held: Held, routes: list[str]) -> str:
-        number = self.turns.get(held.n.destination, 0)
-        self.turns[held.n.destination] = number + 1
+        number = self.next_route.get(held.notification.destination, 0)
+        self.next_route[held.notification.destination] = number + 1
         return routes[number % len(routes)]
 
 
-class LeastInFlight(Backing):
-    """The route with fewest of our own calls out; again after a wait that doubles."""
+class LeastInFlight(ExponentialBackoff):
+    """The route with the fewest pushes in flight from this relay; retries with exponential backoff."""
 
     def choose(self, held: Held, routes: list[str]) -> str:
-        return min(routes, key=lambda r: self.flying.get(r, 0))
+        return min(routes, key=lambda r: self.in_flight_by_route.get(r, 0))
 
 
-class PowerOfTwo(Backing):
-    """The less loaded of two drawn at random."""
+class PowerOfTwo(ExponentialBackoff):
+    """The less loaded of two random routes; retries with exponential backoff."""
 
     def choose(self, held: Held, routes: list[str]) -> str:
-        one, two = (routes[int(self.random.random() * len(routes))] for _ in range(2))
-        return min(one, two, key=lambda r: self.flying.get(r, 0))
+        first, second = (routes[int(self.rng.random() * len(routes))] for _ in range(2))
+        return min(first, second, key=lambda r: self.in_flight_by_route.get(r, 0))
 
 
-class TokenBucket(Backing):
-    """A retry budget: each first push earns a tenth of a further one, and ten may be saved."""
+class TokenBucket(ExponentialBackoff):
+    """A retry budget: each first push earns a tenth of a retry, up to ten retries are saved."""
 
     EARN, MOST = 0.1, 10.0
 
@@ -70,16 +70,16 @@
             self.tokens = min(self.MOST, self.tokens + self.EARN)
         super().push(held, route)
 
-    def again(self, held: Held, result: Result) -> float | None:
+    def retry_delay(self, held: Held, result: Result) -> float | None:
         if self.tokens < 1.0:
             return None
         self.tokens -= 1.0
-        return super().again(held, result)
+        return super().retry_delay(held, result)
 
 
-class AdaptiveConcurrency(Backing):
-    """A limit of calls out by destination: up by one a limit's worth of deliveries, down by a third on
-    trouble."""
+class AdaptiveConcurrency(ExponentialBackoff):
+    """A limit of pushes in flight by destination: plus one for each limit's worth of deliveries, minus 30% on
+    a failure."""
 
     FIRST, LEAST, DOWN = 4.0, 1.0, 0.7
 
@@ -88,13 +88,13 @@
         self.limits: dict[int, float] = {}
 
     def choose(self, held: Held, routes: list[str]) -> str | None:
-        dest = held.n.destination
-        if sum(self.flying.get(r, 0) for r in routes) >= self.limits.get(dest, self.FIRST):
+        dest = held.notification.destination
+        if sum(self.in_flight_by_route.get(r, 0) for r in routes) >= self.limits.get(dest, self.FIRST):
             return None
-        return min(routes, key=lambda r: self.flying.get(r, 0))
+        return min(routes, key=lambda r: self.in_flight_by_route.get(r, 0))
 
-    def heard(self, route: str, result: Result, elapsed: float, held: Held) -> None:
-        dest = held.n.destination
+    def on_result(self, route: str, result: Result, elapsed: float, held: Held) -> None:
+        dest = held.notification.destination
         limit = self.limits.get(dest, self.FIRST)
-        good = result is Result.DELIVERED
-        self.limits[dest] = limit + 1.0 / limit if good else max(self.LEAST, limit * self.DOWN)
+        delivered = result is Result.DELIVERED
+        self.limits[dest] = limit + 1.0 / limit if delivered else max(self.LEAST, limit * self.DOWN)
--- a/ryestack/lab/report.py
+++ b/ryestack/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of a day or a sweep, readable without a network."""
+"""Self-contained HTML pages of a day or a sweep, readable offline."""
 
 import base64
 
@@ -9,7 +9,7 @@
 from .compare import interval
 from .runner import Day
 
-BUSIEST = 100  # destinations in the heat map
+MAX_HEAT_MAP_ROWS = 100  # busiest destinations
 
 PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{ title }}</title>
@@ -42,44 +42,48 @@
     return {"title": title, "data": base64.b64encode(data).decode()}
 
 
-def shown(value) -> str:
+def format_cell(value) -> str:
     if isinstance(value, float):
         return f"{value:.4f}"
     return "-" if value is None else str(value)
 
 
 def of_day(day: Day) -> str:
-    """A day's page: figures, plots over time with its faults, a heat map of destinations, a histogram."""
-    s, series = day.summary, day.series
+    """The page of a day: figures, plots over time with faults, a heat map of destinations, a histogram."""
+    summary, series = day.summary, day.series
     spans = [(p.at, p.at + p.span, p.kind) for p in day.plan]
     last = max(1, int(np.flatnonzero(series["handed"]).max(initial=0)) + 12)
-    cut = {name: values[:last] for name, values in series.items()}
+    shown = {name: values[:last] for name, values in series.items()}
     images = [
-        ("load and deliveries", {k: cut[k] for k in ("handed", "delivered")}, "a second"),
-        ("pushes and refusals", {k: cut[k] for k in ("pushes", "refused")}, "a second"),
-        ("ends undelivered", {k: cut[k] for k in ("throttled", "expired")}, "a second"),
-        ("in flight and held", {k: cut[k] for k in ("out", "held")}, "notifications"),
-        ("circuits open, over all relays", {"open": cut["open"]}, "routes"),
+        ("load and deliveries", {k: shown[k] for k in ("handed", "delivered")}, "a second"),
+        ("pushes and refusals", {k: shown[k] for k in ("pushes", "refused")}, "a second"),
+        ("ends undelivered", {k: shown[k] for k in ("throttled", "expired")}, "a second"),
+        ("in flight and held", {k: shown[k] for k in ("out", "held")}, "notifications"),
+        ("circuits open, over all relays", {"open": shown["open"]}, "routes"),
     ]
-    made = [_image(title, plots.over_time(rows, title, unit, spans)) for title, rows, unit in images]
-    busiest = np.argsort(np.isnan(day.heat).sum(axis=1), kind="stable")[:BUSIEST]
+    plot_images = [_image(title, plots.over_time(rows, title, unit, spans)) for title, rows, unit in images]
+    busiest = np.argsort(np.isnan(day.heat).sum(axis=1), kind="stable")[:MAX_HEAT_MAP_ROWS]
     title = "delivered, by destination and second of arrival"
-    made.append(_image(title, plots.heat(day.heat[np.sort(busiest), :last], title)))
-    made.append(_image("times", plots.histogram(day.times, "time to delivery")))
+    plot_images.append(_image(title, plots.heat(day.heat[np.sort(busiest), :last], title)))
+    plot_images.append(_image("times", plots.histogram(day.times, "time to delivery")))
     figures = ["G", "whole", "worst_window", "worst_topic", "worst_customer", "p50", "p90", "p99", "p99.9"]
     counts = ["handed", "delivered", "taken", "turned_away", "throttled", "expired", "pushes", "calls",
               "connections",
               "refused", "wasted", "again", "dead_door", "orphans", "falls", "late_again"]  # fmt: skip
     return _render(
-        title=f"{s['scenario']}, {s['policy']}, seed {s['seed']}",
-        lead="; ".join(s["faults"]) or "no faults",
+        title=f"{summary['scenario']}, {summary['policy']}, seed {summary['seed']}",
+        lead="; ".join(summary["faults"]) or "no faults",
         tables=[
-            {"title": "Figures", "heads": ["what", "value"], "rows": [[k, shown(s[k])] for k in figures]},
-            {"title": "Counts", "heads": ["what", "count"], "rows": [[k, s[k]] for k in counts]},
-            {"title": "Rules", "heads": ["rule", "broken"], "rows": sorted(s["rules"].items())},
+            {
+                "title": "Figures",
+                "heads": ["what", "value"],
+                "rows": [[k, format_cell(summary[k])] for k in figures],
+            },
+            {"title": "Counts", "heads": ["what", "count"], "rows": [[k, summary[k]] for k in counts]},
+            {"title": "Rules", "heads": ["rule", "broken"], "rows": sorted(summary["rules"].items())},
         ],
-        broken=s["broken"],
-        images=made,
+        broken=summary["broken"],
+        images=plot_images,
         trace=day.trace,
     )
 
@@ -87,7 +91,7 @@
 def points(
     rows: list[dict], key: str, figure: str
 ) -> tuple[list, dict[str, list[tuple[float, float, float]]]]:
-    """The values of a key, and by policy the (mean, low, high) of a figure at each."""
+    """The values of a key, and for each policy the (mean, low, high) of a figure at each value."""
     xs = sorted({row["keys"][key] for row in rows})
     names = list(dict.fromkeys(row["policy"] for row in rows))
     found = {}
@@ -99,7 +103,7 @@
 
 
 def of_sweep(rows: list[dict], figure: str = "G") -> str:
-    """A sweep's page: a curve with intervals for each key that takes several numbers, and the table."""
+    """The page of a sweep: a curve with intervals for each key with several numeric values, and tables."""
     keys = sorted({key for row in rows for key in row["keys"]})
     images, tables = [], []
     for key in keys:
@@ -107,8 +111,8 @@
         if len(values) < 2 or not all(isinstance(v, (int, float)) for v in values):
             continue
         xs, found = points(rows, key, figure)
-        wide = min(xs) > 0 and max(xs) / min(xs) >= 20
-        images.append(_image(key, plots.curves(xs, found, f"{figure} by {key}", key, figure, wide)))
+        log_axis = min(xs) > 0 and max(xs) / min(xs) >= 20
+        images.append(_image(key, plots.curves(xs, found, f"{figure} by {key}", key, figure, log_axis)))
         cells = [[x, *(f"{found[n][i][0]:.4f} ({found[n][i][1]:.4f} to {found[n][i][2]:.4f})" for n in found)]
                  for i, x in enumerate(xs)]  # fmt: skip
         tables.append({"title": key, "heads": [key, *found], "rows": cells})
@@ -116,10 +120,10 @@
     for row in rows:
         by_policy.setdefault(row["policy"], []).append(row)
     cells = []
-    for name, mine in by_policy.items():
-        mean, low, high = interval([r[figure] for r in mine])
-        broken = sum(sum(r["rules"].values()) > 0 for r in mine)
-        cells.append([name, len(mine), f"{mean:.4f}", f"{low:.4f}", f"{high:.4f}", broken])
+    for name, days in by_policy.items():
+        mean, low, high = interval([r[figure] for r in days])
+        broken = sum(sum(r["rules"].values()) > 0 for r in days)
+        cells.append([name, len(days), f"{mean:.4f}", f"{low:.4f}", f"{high:.4f}", broken])
     heads = ["policy", "days", f"mean {figure}", "low", "high", "days with a rule broken"]
     tables.insert(0, {"title": "Policies", "heads": heads, "rows": cells})
     lead = f"{len(rows)} days, revisions {', '.join(sorted({r['revision'] for r in rows}))}; intervals of 95%"
--- a/ryestack/lab/scenario/__init__.py
+++ b/ryestack/lab/scenario/__init__.py
@@ -1,7 +1,10 @@
-"""A scenario: fleet, destinations, traffic, network, directory, faults. TOML, checked like operator files."""
+"""Scenarios of the emulator: fleet, destinations, traffic, network, directory and faults.
 
-from .checks import faults_of
-from .files import BadScenario, of, read, read_table, table_of, with_key, write
+A scenario is a TOML file that is validated like operator files.
+"""
+
+from .checks import problems_of
+from .files import BadScenario, from_table, read, read_table, table_of, with_key, write
 from .model import FAULTS, FLEET_FAULTS, UNIT_FAULTS, Group, Rules, Scenario, TimelineFault, Topic
 
 __all__ = [
@@ -14,8 +17,8 @@
     "Rules",
     "Scenario",
     "Topic",
-    "faults_of",
-    "of",
+    "problems_of",
+    "from_table",
     "read",
     "read_table",
     "table_of",
--- a/ryestack/lab/scenario/files.py
+++ b/ryestack/lab/scenario/files.py
@@ -1,4 +1,4 @@
-"""Scenarios in files and tables: read, written, changed by a dotted key."""
+"""Reads and writes scenarios as files and tables, and changes single keys."""
 
 import tomllib
 
@@ -6,35 +6,37 @@
 import tomli_w
 
 from ...operator.checks import Fault, line_of
-from .checks import faults_of
+from .checks import problems_of
 from .model import Scenario
 
 
 class BadScenario(Exception):
-    """A scenario that cannot be used; the text has a line a fault."""
+    """A scenario or policy is invalid; the message has one line for each error."""
 
 
 def read(path: str) -> Scenario:
-    """The scenario in a file; raises BadScenario with all its faults."""
+    """Read a scenario; raises BadScenario with all its problems."""
     table, text = read_table(path)
-    return of(table, path, text)
+    return from_table(table, path, text)
 
 
 def read_table(path: str) -> tuple[dict, str]:
+    """The table and the text of a TOML file; raises BadScenario."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
         return tomllib.loads(text), text
-    except OSError as problem:
-        raise BadScenario(f"{path}: {problem.strerror}") from None
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as problem:
-        raise BadScenario(f"{path}: is no TOML: {problem}") from None
+    except OSError as error:
+        raise BadScenario(f"{path}: {error.strerror}") from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
+        raise BadScenario(f"{path}: not valid TOML: {error}") from None
 
 
-def of(table: dict, path: str = "scenario", text: str = "") -> Scenario:
-    faults = [Fault(path, line_of(text, key) if text else 0, key, why) for key, why in faults_of(table)]
-    if faults:
-        raise BadScenario("\n".join(map(str, faults)))
+def from_table(table: dict, path: str = "scenario", text: str = "") -> Scenario:
+    """The scenario of a table; raises BadScenario with all its problems."""
+    problems = [Fault(path, line_of(text, key) if text else 0, key, why) for key, why in problems_of(table)]
+    if problems:
+        raise BadScenario("\n".join(map(str, problems)))
     return msgspec.convert(table, Scenario)
 
 
@@ -48,18 +50,21 @@
 
 
 def with_key(table: dict, dotted: str, value) -> dict:
-    """A copy of a table with one dotted key set; rows of lists are named by number, as group.0.headroom."""
+    """A copy of a table with one dotted key set; list rows are numbers, as in group.0.headroom.
+
+    Raises BadScenario if the key does not exist.
+    """
     copy = msgspec.json.decode(msgspec.json.encode(table))
     *path, last = dotted.split(".")
-    place = copy
+    current = copy
     for part in path:
-        if isinstance(place, list):
-            if not part.isdigit() or int(part) >= len(place):
+        if isinstance(current, list):
+            if not part.isdigit() or int(part) >= len(current):
                 raise BadScenario(f"{dotted}: there is no row {part}")
-            place = place[int(part)]
+            current = current[int(part)]
         else:
-            place = place.setdefault(part, {})
-    if not isinstance(place, dict):
-        raise BadScenario(f"{dotted}: is no key")
-    place[last] = value
+            current = current.setdefault(part, {})
+    if not isinstance(current, dict):
+        raise BadScenario(f"{dotted}: is not a key")
+    current[last] = value
     return copy
--- a/ryestack/lab/studies.py
+++ b/ryestack/lab/studies.py
@@ -1,6 +1,6 @@
-"""Studies: a question, the days that answer it, what is plotted. `ryestack lab study NAME` plays one.
+"""Studies: a question, the days that answer it and the figures to plot. `ryestack lab study NAME` plays one.
 
-Each question was written down before its days were played; docs/studies/ has the answers.
+Each question was written before its days were played; docs/studies/ has the answers.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Study:
-    """table: the scenario; vary: dotted key to values, the first is plotted across; figures: summary keys."""
+    """table: the scenario; vary: dotted key -> values, the first key is the x axis; figures: summary keys."""
 
     question: str
     table: dict
@@ -28,7 +28,7 @@
 
 STUDIES = {
     "herd": Study(
-        "When a large destination returns cold, is it pushed over the more easily the more relays there are?",
+        "Is a large destination that recovers from an outage overloaded more easily by more relays?",
         {
             "format": 1, "name": "herd", "seconds": 45.0, "topic": TOPICS,
             "group": [{"count": 4, "headroom": 1.6, "service": {"mean": 0.1},
@@ -43,7 +43,7 @@
         log=True,
     ),
     "limits": Study(
-        "How many calls are refused where relays share nothing but a limit, and what does it cost?",
+        "How many calls are refused if relays share nothing but a limit, and what does it cost?",
         {
             "format": 1, "name": "limits", "seconds": 40.0, "topic": TOPICS,
             "group": [{"count": 6, "headroom": 1.25, "service": {"mean": 0.1},
@@ -56,7 +56,7 @@
         log=True,
     ),
     "metastable": Study(
-        "After a trigger is gone, does the load come back by itself, and what retry budget lets it?",
+        "After an overload trigger ends, does goodput recover by itself, and with which retry budget?",
         {
             "format": 1, "name": "metastable", "seconds": 60.0,
             "topic": [{"name": "points", "effect": "collapsible", "objective": 2.0, "ttl": 8.0,
@@ -73,7 +73,7 @@
         ["last_third", "wasted", "G"],
     ),
     "share-cap": Study(
-        "What share of its slots should a relay let one destination take, from two slots to sixty-four?",
+        "What share of its slots should a relay allow one destination, from two slots to sixty-four?",
         {
             "format": 1, "name": "share-cap", "seconds": 40.0, "topic": TOPICS,
             "fleet": {"relays": 3},
@@ -89,7 +89,7 @@
         log=True,
     ),
     "rolling": Study(
-        "What do rolling restarts cost, by how many relays they take, with their folders and without?",
+        "What do rolling restarts cost, by the share of relays, with and without their folders?",
         {
             "format": 1, "name": "rolling", "seconds": 45.0, "topic": TOPICS,
             "fleet": {"relays": 10},
--- a/ryestack/lab/sweep.py
+++ b/ryestack/lab/sweep.py
@@ -1,7 +1,6 @@
-"""Sweeps: a grid or a random draw over keys, seeds and policies, on all cores, that can be stopped and gone
-on with.
+"""Resumable sweeps: a grid or random points over keys, seeds and policies, on all cores.
 
-Results are JSON lines, one a day, each with the revision, the seed, the keys and the scenario's hash.
+Results are JSON lines, one for each day, with the revision, the seed, the keys and the scenario's hash.
 """
 
 import itertools
@@ -23,72 +22,74 @@
     return [dict(zip(names, values, strict=True)) for values in itertools.product(*keys.values())] or [{}]
 
 
-def drawn(keys: dict[str, list], count: int, seed: int) -> list[dict]:
-    """count combinations, each value drawn evenly: from [least, most] where both are numbers, else from the
-    list."""
-    gen, found = np.random.default_rng(seed), []
+def random_points(keys: dict[str, list], count: int, seed: int) -> list[dict]:
+    """`count` combinations with values drawn uniformly: from [minimum, maximum] if both are numbers, else
+    from the list."""
+    rng, found = np.random.default_rng(seed), []
     for _ in range(count):
         row = {}
         for name, values in keys.items():
             span = len(values) == 2 and all(isinstance(v, (int, float)) for v in values)
             if span and all(isinstance(v, int) for v in values):
-                row[name] = int(gen.integers(values[0], values[1] + 1))
+                row[name] = int(rng.integers(values[0], values[1] + 1))
             else:
-                row[name] = float(gen.uniform(*values)) if span else values[int(gen.integers(len(values)))]
+                row[name] = float(rng.uniform(*values)) if span else values[int(rng.integers(len(values)))]
         found.append(row)
     return found
 
 
 def jobs_of(table: dict, points: list[dict], seeds: list[int], policies: list[str]) -> list[tuple]:
-    """(scenario, keys, seed, policy) of each day; raises BadScenario if a point makes none that can be
-    used."""
+    """(scenario, keys, seed, policy) of each day; raises BadScenario if a point gives an invalid scenario."""
     found = []
     for point in points:
-        made = table
+        changed = table
         for key, value in point.items():
-            made = sc.with_key(made, key, value)
-        day = sc.of(
-            made, "scenario with " + ", ".join(f"{k}={v}" for k, v in point.items()) if point else "scenario"
+            changed = sc.with_key(changed, key, value)
+        day = sc.from_table(
+            changed,
+            "scenario with " + ", ".join(f"{k}={v}" for k, v in point.items()) if point else "scenario",
         )
         found += [(day, point, seed, policy) for seed in seeds for policy in policies]
     return found
 
 
-def name_of(day, point: dict, seed: int, policy: str, tree: str) -> str:
+def row_name(day, point: dict, seed: int, policy: str, tree: str) -> str:
     return json.dumps([mark_of(day), point, seed, policy, tree], sort_keys=True)
 
 
-def one(day, point: dict, seed: int, policy: str, tree: str) -> dict:
+def play_job(day, point: dict, seed: int, policy: str, tree: str) -> dict:
     summary = bare(play(day, seed, policy).summary)
-    return {"name": name_of(day, point, seed, policy, tree), "revision": tree, "hash": mark_of(day),
+    return {"name": row_name(day, point, seed, policy, tree), "revision": tree, "hash": mark_of(day),
             "keys": point, **summary}  # fmt: skip
 
 
-def run(jobs: list[tuple], path: str | None, note: Callable[[int, int], None], cores: int = 0) -> list[dict]:
-    """Plays what `path` does not hold yet and adds it there as it comes; returns all in the order of the
+def run(
+    jobs: list[tuple], path: str | None, progress: Callable[[int, int], None], cores: int = 0
+) -> list[dict]:
+    """Play the jobs that `path` has no row of and append each result; returns all rows in the order of the
     jobs.
 
-    note(done, of) is told after each. cores: 0 for all.
+    progress(done, total): called after each job; cores: 0 for all.
     """
     tree = revision()
-    held = {row["name"]: row for row in lines(path)} if path else {}
-    names = [name_of(*job, tree) for job in jobs]
-    missing = [(name, job) for name, job in zip(names, jobs, strict=True) if name not in held]
+    rows_by_name = {row["name"]: row for row in read_rows(path)} if path else {}
+    names = [row_name(*job, tree) for job in jobs]
+    missing = [(name, job) for name, job in zip(names, jobs, strict=True) if name not in rows_by_name]
     done = len(jobs) - len(missing)
-    note(done, len(jobs))
-    work = (delayed(one)(*job, tree) for _, job in missing)
+    progress(done, len(jobs))
+    work = (delayed(play_job)(*job, tree) for _, job in missing)
     for row in Parallel(cores or os.cpu_count() or 1, return_as="generator_unordered")(work):
-        held[row["name"]] = row
+        rows_by_name[row["name"]] = row
         if path:
             with open(path, "ab") as file:
                 file.write(json.dumps(row, separators=(",", ":")).encode() + b"\n")
         done += 1
-        note(done, len(jobs))
-    return [held[name] for name in names]
+        progress(done, len(jobs))
+    return [rows_by_name[name] for name in names]
 
 
-def lines(path: str) -> Iterator[dict]:
-    """The whole lines of a file of results; one that was cut off when a sweep was stopped is passed over."""
+def read_rows(path: str) -> Iterator[dict]:
+    """The complete rows of a results file; a line truncated when a sweep was stopped is skipped."""
     if not Path(path).exists():
         return
     with open(path, "rb") as file:
--- a/tests/emulated.py
+++ b/tests/emulated.py
@@ -1,4 +1,4 @@
-"""Parts of emulated days that several tests build."""
+"""Builders of emulated days, shared by several tests."""
 
 from ryestack.lab import scenario as sc
 from ryestack.lab.sim.partners import Unit, WarmUp
@@ -12,7 +12,7 @@
 
 def day(**more):
     base = {"format": 1, "seconds": 20.0, "group": [{"count": 4}], "traffic": {"rate": 20.0}}
-    return sc.of({**base, **more})
+    return sc.from_table({**base, **more})
 
 
 def unit(**more):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Whole emulated days: seeds, policies, faults, and modules that are broken on purpose."""
+"""Complete emulated days: seeds, policies, faults, and policies with injected defects."""
 
 import math
 import unittest
@@ -13,17 +13,17 @@
 
 
 class Days(unittest.TestCase):
-    def test_the_same_seed_the_same_bytes_and_another_another(self):
+    def test_equal_seeds_give_equal_bytes_and_others_differ(self):
         made = day(random={"faults": [1, 3]})
         one, two, other = (play(made, seed).summary for seed in (4, 4, 5))
         self.assertEqual(line_of(one), line_of(two))
         self.assertNotEqual(line_of(one), line_of(other))
 
-    def test_policies_meet_the_same_arrivals(self):
+    def test_policies_receive_the_same_arrivals(self):
         worlds = [World(day(), 3, POLICIES[name]).run() for name in ("one-try", "best")]
         self.assertEqual(worlds[0].arrivals.at.tolist(), worlds[1].arrivals.at.tolist())
 
-    def test_a_calm_day_is_delivered_and_the_ceiling_is_over_the_floor_in_trouble(self):
+    def test_a_day_without_faults_is_delivered_and_with_faults_the_ceiling_is_above_the_floor(self):
         self.assertGreater(play(day(), 1).summary["G"], 0.98)
         fault = [{"kind": "refuse", "at": 5.0, "for": 6.0, "part": 0.5}]
         names = "one-try", "ryestack", "best"
@@ -45,18 +45,18 @@
         summary = play(day(**base, fault=rows), 7).summary
         self.assertEqual({k: v for k, v in summary["rules"].items() if v and k != "4"}, {}, summary["broken"])
 
-    def test_a_relay_with_its_folder_owes_what_it_held_and_one_without_does_not(self):
+    def test_a_relay_restarted_with_its_folder_answers_what_it_held(self):
         fault = {"kind": "kill", "at": 8.0, "part": 1.0, "down": 2.0}
         rows = [{"kind": "hang", "at": 5.0, "for": 8.0, "part": 1.0}]
         for folder in (True, False):
             summary = play(day(fault=[*rows, {**fault, "folder": folder}]), 1).summary
-            told = rules_broken(summary), summary["orphans"] > 0
-            self.assertEqual(told, (0, not folder), summary["broken"])
+            found = rules_broken(summary), summary["orphans"] > 0
+            self.assertEqual(found, (0, not folder), summary["broken"])
             self.assertGreater(summary["dead_door"], 10)
 
-    def test_a_broken_module_is_caught(self):
-        """The judge sees what the guards prevent: each is taken out in turn."""
-        class Again(Brain):
+    def test_the_judge_detects_broken_policies(self):
+        """The judge reports what the guards prevent: each guard is removed in turn."""
+        class PushesAgain(Brain):
             again = Brain.park
             def may_push(self, ntf, route):
                 return ntf.state == "parked" and not ntf.out
@@ -64,7 +64,7 @@
             def begin_in(self, ntf):
                 return math.inf
 
-        class Deaf(Brain):
+        class IgnoresDrains(Brain):
             def may_push(self, ntf, route):
                 drained, route.state = route.state, "closed"
                 good = super().may_push(ntf, route)
@@ -75,14 +75,14 @@
                 return True
 
         lost = [{"kind": "lost", "at": 2.0, "for": 10.0, "part": 1.0}]
-        world = World(day(topic=[{"effect": "once-only", "ttl": 8.0}], fault=lost), 1, Again).run()
+        world = World(day(topic=[{"effect": "once-only", "ttl": 8.0}], fault=lost), 1, PushesAgain).run()
         self.assertGreater(world.judge.counts[1] + world.judge.counts[2], 0)
         rows = [{"kind": "replace", "at": 2.0, "for": 5.0, "part": 1.0}]
-        world = World(day(fault=rows), 1, Deaf).run()
+        world = World(day(fault=rows), 1, IgnoresDrains).run()
         self.assertGreater(world.judge.counts[3], 0)
         many = {"count": 1, "headroom": 0.8, "least": 1.0, "limit": {"how": "window", "tells": 1.0}}
-        forgetful = type("Forgetful", (POLICIES["random"],), {"unit": lambda self, route: object()})
-        world = World(day(group=[many]), 1, forgetful).run()
+        no_waits = type("IgnoresWaits", (POLICIES["random"],), {"wait_scope": lambda self, route: object()})
+        world = World(day(group=[many]), 1, no_waits).run()
         self.assertGreater(world.judge.counts[6], 0)
 
 
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -1,4 +1,4 @@
-"""The emulator's parts: chance, arrivals, limits, destinations."""
+"""Components of the emulator: random streams, arrivals, limits, destinations."""
 
 import unittest
 from types import SimpleNamespace
@@ -15,8 +15,8 @@
 from .emulated import day, unit
 
 
-class Chances(unittest.TestCase):
-    def test_streams_by_name_do_not_shift_each_other(self):
+class Streams(unittest.TestCase):
+    def test_named_streams_are_independent(self):
         one, two = RandomStreams(5), RandomStreams(5)
         two.generator("other").random(100)
         self.assertEqual(one.generator("a", 1).random(3).tolist(), two.generator("a", 1).random(3).tolist())
@@ -24,17 +24,17 @@
         u = buffered(one.generator("b").random, 4)
         self.assertEqual(len({u() for _ in range(10)}), 10)
 
-    def test_paces_have_mean_one_and_their_spread(self):
-        gen = RandomStreams(3).generator("p")
+    def test_service_times_have_mean_one_and_their_deviation(self):
+        rng = RandomStreams(3).generator("p")
         for shape, cv, wanted in (("exponential", 0, 1.0), ("lognormal", 0.8, 0.8), ("heavy", 0.6, 0.6)):
-            drawn = paces.draw_normalized(shape, cv, [], gen, 400_000)
+            drawn = paces.draw_normalized(shape, cv, [], rng, 400_000)
             self.assertAlmostEqual(drawn.mean(), 1.0, delta=0.01)
             self.assertAlmostEqual(drawn.std(), wanted, delta=0.15)
-        drawn = paces.draw_normalized("empirical", 0, [1.0, 3.0], gen, 1000)
+        drawn = paces.draw_normalized("empirical", 0, [1.0, 3.0], rng, 1000)
         self.assertEqual(set(drawn.tolist()), {0.5, 1.5})
-        self.assertEqual(set(paces.draw_normalized("fixed", 0, [], gen, 3)), {1.0})
+        self.assertEqual(set(paces.draw_normalized("fixed", 0, [], rng, 3)), {1.0})
 
-    def test_equal_times_go_in_the_order_asked_for_and_nothing_goes_back(self):
+    def test_equal_times_run_in_the_order_of_scheduling_and_time_does_not_go_back(self):
         clock, seen = Clock(), []
         clock.call_at(2.0, seen.append, "c")
         clock.call_at(1.0, seen.append, "a")
@@ -59,30 +59,30 @@
         burst = (found.at > 50.0) & (found.at < 51.0) & (found.destination == 2)
         self.assertGreater(burst.sum(), 300)
         over = found.benefit_factor[found.customer == 0] < 1.0
-        self.assertAlmostEqual(over.mean(), 0.5, delta=0.1)  # it hands in twice its quota
+        self.assertAlmostEqual(over.mean(), 0.5, delta=0.1)  # it submits twice its quota
         self.assertEqual(found.benefit_factor[found.customer == 1].min(), 1.0)
 
-    def test_every_shape_of_a_day_has_its_mean(self):
+    def test_every_load_shape_has_mean_one(self):
         for shape in ("steady", "bursty", "ramp", "wave"):
             _, level = traffic.intensity(shape, 0.5, 4000.0, RandomStreams(1).generator(shape))
             self.assertAlmostEqual(level.mean(), 1.0, delta=0.06)
 
 
 class Limits(unittest.TestCase):
-    def test_a_rate_lets_its_burst_and_then_its_rate_through(self):
+    def test_a_rate_limit_accepts_its_burst_and_then_its_rate(self):
         limit = RateLimit(10.0, 5.0, False)
         self.assertEqual(sum(limit.acquire(0.0)[0] for _ in range(20)), 5)
-        good, wait = limit.acquire(0.0)
-        self.assertFalse(good)
+        accepted, wait = limit.acquire(0.0)
+        self.assertFalse(accepted)
         self.assertAlmostEqual(wait, 0.1)
         self.assertEqual(sum(limit.acquire(0.01 * i)[0] for i in range(1, 101)), 10)
 
-    def test_refused_calls_use_a_limit_up_where_they_count(self):
+    def test_refused_calls_count_against_a_limit(self):
         for limit in (RateLimit(10.0, 5.0, True), WindowLimit(10.0, 1.0, True)):
             taken = sum(limit.acquire(0.02 * i)[0] for i in range(500))  # 50 a second for ten seconds
             self.assertLess(taken, 70)
 
-    def test_a_window_counts_by_spans_and_tells_its_end(self):
+    def test_a_window_limit_counts_by_spans_and_reports_their_end(self):
         limit = WindowLimit(3.0, 2.0, False)
         self.assertEqual([limit.acquire(0.5)[0] for _ in range(4)], [True, True, True, False])
         self.assertAlmostEqual(limit.acquire(1.25)[1], 0.75)
@@ -90,16 +90,16 @@
 
 
 class Destinations(unittest.TestCase):
-    def test_queues_are_as_theory_has_them(self):
+    def test_queues_agree_with_theory(self):
         rows = validity.check(count=6_000, runs=8, seed=3, cores=1)
         self.assertGreaterEqual(sum(r.good for r in rows), len(rows) - 1)
         self.assertAlmostEqual(validity.erlang_c(1, 0.7), 0.7)
         self.assertAlmostEqual(validity.loss(1, 0, 1.0), 0.5)  # Erlang's loss with one server at one erlang
 
-    def test_an_outage_begins_and_ends_with_its_troubles_and_what_comes_back_is_cold(self):
+    def test_an_outage_begins_and_ends_with_its_faults_and_the_unit_recovers_cold(self):
         u, one, two = unit(), UnitFault("hang", 1.0), UnitFault("error", 0.3)
         u.add_fault(two, 1.0)
-        self.assertFalse(u.out)  # three calls in ten failing are no outage
+        self.assertFalse(u.out)  # three failing calls in ten are not an outage
         u.add_fault(one, 2.0)
         u.witnesses.add("r")
         u.remove_fault(two, 3.0)
@@ -111,15 +111,15 @@
         u.add_fault(one, 20.0)
         self.assertEqual(u.witnesses, set())
 
-    def test_too_much_for_a_cold_one_within_the_window(self):
+    def test_too_many_calls_to_a_cold_unit_within_the_window(self):
         u = unit()
         u.cold_since = 0.0
-        calm = [u.overloaded_by("r", 1.0, 0.2 * i) for i in range(20)]  # five a second, it can do five
+        calm = [u.overloaded_by("r", 1.0, 0.2 * i) for i in range(20)]  # five a second, its capacity
         self.assertEqual(set(calm), {None})
         hard = [u.overloaded_by("r", 1.0, 4.0 + 0.02 * i) for i in range(20)]
         self.assertIsNotNone(hard[-1])
 
-    def test_troubles_compose_and_strike_their_topic(self):
+    def test_faults_compose_and_affect_their_topic_type(self):
         u, even = unit(), lambda: 0.5
         u.add_fault(UnitFault("slow", 1.0, 4.0), 0.0)
         u.add_fault(UnitFault("tail", 1.0, 3.0, "b"), 0.0)
@@ -129,7 +129,7 @@
         found = u.blocking_fault("a", even), u.blocking_fault("b", even), u.opens_at()
         self.assertEqual(found, ("", "shut", 9.0))
 
-    def test_slots_queue_and_what_dies_with_the_process(self):
+    def test_slots_queue_and_calls_that_end_with_the_process(self):
         clock, done = Clock(), []
         route, relay = Route("r", unit(), 0, 1, 1, clock, done.append), SimpleNamespace(incarnation=0)
         calls = [Call(relay, route, [], 0.0) for _ in range(3)]
--- a/tests/test_emulator_rules.py
+++ b/tests/test_emulator_rules.py
@@ -1,4 +1,4 @@
-"""The emulator's judge and the policies to compare with."""
+"""The judge of the emulator and the reference policies."""
 
 import unittest
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class Rules(unittest.TestCase):
-    """Each rule is broken once, on purpose."""
+    """Each rule is violated once."""
 
     def setUp(self):
         self.judge = Judge(TOPICS, sc.Rules())
@@ -32,9 +32,9 @@
     def broke(self, *rules):
         self.assertEqual([k for k, n in self.judge.counts.items() if n], list(rules), self.judge.violations)
 
-    def test_one_end_in_time_and_nothing_after(self):
+    def test_one_final_answer_in_time_and_nothing_after(self):
         judge = self.judge
-        for spoil in (
+        for violate in (
             lambda h: (judge.answered(h, "delivered", 1.0), judge.answered(h, "expired", 2.0)),
             lambda h: (judge.answered(h, "throttled", 1.0), judge.pushed(h, 0, self.route, 2.0)),
             lambda h: judge.pushed(h, 0, self.route, 20.1),
@@ -42,11 +42,11 @@
             lambda h: judge.check_deadline(h, 20.06),
         ):
             judge.counts[1] = 0
-            spoil(self.submission())
+            violate(self.submission())
             self.assertEqual(judge.counts[1], 1)
         self.broke(1)
 
-    def test_a_restarted_relay_has_a_moment_and_one_without_its_folder_no_duty(self):
+    def test_a_restarted_relay_has_a_grace_period_and_one_without_its_folder_no_obligation(self):
         submission = self.submission()
         self.relay.ready_at = 19.5
         self.assertGreater(self.judge.check_deadline(submission, 20.06), 20.9)
@@ -54,7 +54,7 @@
         self.assertIsNone(self.judge.check_deadline(submission, 21.1))
         self.broke()
 
-    def test_effects_twice_and_false_words(self):
+    def test_repeated_effects_and_false_answers(self):
         judge = self.judge
         once, merge, again = self.submission(topic=2), self.submission(topic=1), self.submission(topic=0)
         for submission in (once, merge, again):
@@ -67,9 +67,9 @@
         judge.answered(once, "throttled", 2.0)
         self.assertEqual(judge.counts[2], 2)
         judge.took_effect(once, self.route, 3.0)
-        self.assertEqual(judge.counts[2], 4)  # it ran twice, and after it was called harmless
+        self.assertEqual(judge.counts[2], 4)  # it ran twice, and after the answer throttled
 
-    def test_drains_waits_and_turns(self):
+    def test_drains_waits_and_key_order(self):
         judge, submission = self.judge, self.submission()
         judge.list_changed(self.relay, "s", False, 1.0)
         judge.pushed(submission, 0, self.route, 2.9)
@@ -94,7 +94,7 @@
         judge.pushed(second, 2, self.route, 7.1)
         self.assertEqual(judge.counts[5], 1)
 
-    def test_pushed_over_counts_only_where_two_thirds_had_seen_it_fail(self):
+    def test_overload_counts_only_if_two_thirds_came_from_relays_that_had_seen_the_failure(self):
         u = unit()
         u.witnesses = {"a"}
         self.judge.overloaded(u, [(0.0, "a", 1.0), (0.1, "b", 1.0)], 0.2)
@@ -102,53 +102,53 @@
         self.judge.overloaded(u, [(0.0, "a", 2.0), (0.1, "b", 1.0)], 0.2)
         self.broke(4)
 
-    def test_a_life_is_traced(self):
+    def test_a_submission_is_traced(self):
         self.judge.trace = {"1.0"}
         submission = self.submission()
         self.submission("2.0")
         self.judge.pushed(submission, 0, self.route, 1.0)
-        told = [line.split(": ")[1] for line in self.judge.trace_lines]
-        self.assertEqual(told, ["taken by relay 0, due 20.000", "push 0 to s"])
+        traced = [line.split(": ")[1] for line in self.judge.trace_lines]
+        self.assertEqual(traced, ["taken by relay 0, due 20.000", "push 0 to s"])
 
 
 class Policies(unittest.TestCase):
-    def of(self, kind):
+    def policy(self, kind):
         made = kind(settings(), 1)
         rows = tuple(interface.Endpoint(r, "z", "shared", 7, rate=50.0) for r in "ab")
         made.round(0.0, [interface.ListUpdate(rows, whole=True)])
         return made
 
-    def pushes(self, acts):
-        return [(a.id, a.endpoint) for a in acts if isinstance(a, interface.Push)]
+    def pushes(self, actions):
+        return [(a.id, a.endpoint) for a in actions if isinstance(a, interface.Push)]
 
-    def test_what_may_not_run_again_ends_and_what_may_goes_on(self):
-        made = self.of(RandomRoute)
+    def test_once_only_notifications_end_and_repeatable_ones_are_pushed_again(self):
+        made = self.policy(RandomRoute)
         first = self.pushes(made.round(1.0, [take("n", "once"), take("m")]))
         self.assertEqual({name for name, _ in first}, {"n", "m"})
         broken = [interface.Outcome(name, 0, route, Result.BROKEN) for name, route in first]
-        acts = made.round(1.1, broken)
-        self.assertEqual([type(a) for a in acts if getattr(a, "id", "") == "n"], [interface.Expire])
-        self.assertEqual([name for name, _ in self.pushes(acts)], ["m"])
-
-    def test_waits_are_heeded_and_routes_taken_in_turn(self):
-        made = self.of(RoundRobin)
-        acts = made.round(1.0, [take("n"), take("m")])
-        self.assertEqual([route for _, route in self.pushes(acts)], ["a", "b"])
+        actions = made.round(1.1, broken)
+        self.assertEqual([type(a) for a in actions if getattr(a, "id", "") == "n"], [interface.Expire])
+        self.assertEqual([name for name, _ in self.pushes(actions)], ["m"])
+
+    def test_waits_are_honoured_and_routes_used_in_turn(self):
+        made = self.policy(RoundRobin)
+        actions = made.round(1.0, [take("n"), take("m")])
+        self.assertEqual([route for _, route in self.pushes(actions)], ["a", "b"])
         made.round(1.1, [interface.Outcome("n", 0, "a", Result.FULL, wait=2.0)])
         self.assertEqual(self.pushes(made.round(2.0, [take("o")])), [])
         self.assertTrue(self.pushes(made.round(3.5, [])))
 
     def test_a_retry_budget_runs_out(self):
-        made, pushed = self.of(TokenBucket), 0
+        made, pushed = self.policy(TokenBucket), 0
         for i in range(40):
-            acts = made.round(1.0 + i, [take(f"n{i}", due=90.0)])
-            for name, route in self.pushes(acts):
+            actions = made.round(1.0 + i, [take(f"n{i}", due=90.0)])
+            for name, route in self.pushes(actions):
                 pushed += 1
                 number = made.held[name].pushes - 1
                 made.round(1.01 + i, [interface.Outcome(name, number, route, Result.ERROR)])
         self.assertLess(pushed, 40 + 16)
 
-    def test_a_revision_of_the_module_is_a_policy_and_an_unknown_one_is_told(self):
+    def test_unknown_policies_and_revisions_are_rejected(self):
         with self.assertRaisesRegex(sc.BadScenario, "there is none"):
             policy_of("rystack")
         with self.assertRaises(sc.BadScenario):
