--- a/ryestack/lab/compare.py
+++ b/ryestack/lab/compare.py
@@ -20,6 +20,7 @@
 
     @property
     def significant(self) -> bool:
+        """Whether the interval excludes 0."""
         return self.low > 0.0 or self.high < 0.0
 
     def describe(self, a: str, b: str) -> str:
--- a/ryestack/lab/judge.py
+++ b/ryestack/lab/judge.py
@@ -13,7 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """rule: 1 to 6; at: seconds; id: the submission or the destination; what: the description."""
+    """rule: 1 to 6; at: seconds; id: the submission or the destination; what: the description,
+    part of the summary of a day."""
 
     rule: int
     at: float
@@ -41,17 +42,20 @@
         self.key_rests: dict = {}  # (relay, key) -> (until, the submission whose push may still run)
 
     def report(self, rule: int, now: float, name: str, what: str) -> None:
+        """Count a violation of a rule and keep its description."""
         self.counts[rule] += 1
         if len(self.violations) < self.MAX_KEPT:
             self.violations.append(RuleViolation(rule, now, name, what))
 
     def trace_event(self, now: float, name: str, what: str) -> None:
+        """Add a line to the trace of a submission, if it is traced."""
         if name in self.trace:
             self.trace_lines.append(f"{now:10.4f} {name}: {what}")
 
     # -- events of a submission ---------------------------------------------------------------------
 
     def accepted(self, submission, now: float) -> None:
+        """The relay has accepted a submission."""
         if self.trace:
             self.trace_event(
                 now, submission.id, f"taken by relay {submission.relay.number}, due {submission.due:.3f}"
@@ -65,22 +69,20 @@
         if self.trace:
             self.trace_event(now, submission.id, f"push {push} to {route.id}")
         if submission.end:
-            self.report(1, now, submission.id, f"pushed after its final answer, {submission.end}")
+            self.report(1, now, submission.id, f"pushed after its end, {submission.end}")
         elif now > submission.due + TOLERANCE_S:
-            self.report(1, now, submission.id, "pushed after its deadline")
+            self.report(1, now, submission.id, "pushed after its time was up")
         drained_at = self.drained.get((relay.number, route.id))
         if drained_at is not None and now > drained_at + self.rules.grace + TOLERANCE_S:
             self.report(
                 3,
                 now,
                 submission.id,
-                f"pushed to {route.id}, reported draining or gone at {drained_at:.3f}",
+                f"pushed to {route.id}, told at {drained_at:.3f} that it drains or is gone",
             )
         until = self.waits.get((relay.number, route.unit.name), 0.0)
         if now < until - 1e-6:
-            self.report(
-                6, now, submission.id, f"pushed to {route.id}, which requested a wait until {until:.3f}"
-            )
+            self.report(6, now, submission.id, f"pushed to {route.id}, told to wait until {until:.3f}")
         if (
             submission.first_effect_at >= 0.0
             and now > submission.first_effect_at + self.topics[submission.topic].window + TOLERANCE_S
@@ -89,7 +91,7 @@
                 2,
                 now,
                 submission.id,
-                f"collapsible: pushed again outside its window, ran at {submission.first_effect_at:.3f}",
+                f"collapsible: pushed again outside its window, it ran at {submission.first_effect_at:.3f}",
             )
         if submission.key:
             self.check_key_order(submission, now)
@@ -100,7 +102,7 @@
         queue = self.key_queues.get(key)
         first = next((h for h in queue or () if not h.end or h.open), submission)
         if first is not submission:
-            self.report(5, now, submission.id, f"pushed while {first.id} of the same key is open")
+            self.report(5, now, submission.id, f"pushed while {first.id} of its key is not over")
         until, owner = self.key_rests.get(key, (0.0, None))
         if now < until - 1e-6 and owner is not submission:
             self.report(5, now, submission.id, f"pushed while its key rests until {until:.3f}")
@@ -115,7 +117,7 @@
             if submission.runs > 1:
                 self.report(2, now, submission.id, f"once-only, and it ran {submission.runs} times")
             if submission.end == "throttled":
-                self.report(2, now, submission.id, "once-only: it ran, and its client was told to retry")
+                self.report(2, now, submission.id, "once-only: it ran, and its client was told to come again")
         elif effect == "collapsible":
             if submission.first_effect_at < 0.0:
                 submission.first_effect_at = now
@@ -127,13 +129,13 @@
         if self.trace:
             self.trace_event(now, submission.id, how)
         if submission.end:
-            self.report(1, now, submission.id, f"a second final answer, {how} after {submission.end}")
+            self.report(1, now, submission.id, f"a second end, {how} after {submission.end}")
             return
         submission.end = how
         if now > submission.due + TOLERANCE_S and now > submission.relay.ready_at + RESTART_GRACE_S:
-            self.report(1, now, submission.id, f"{how} after its deadline")
+            self.report(1, now, submission.id, f"{how} after its time was up")
         if how == "throttled" and submission.runs and self.topics[submission.topic].effect == "once-only":
-            self.report(2, now, submission.id, "once-only: it ran, and its client was told to retry")
+            self.report(2, now, submission.id, "once-only: it ran, and its client was told to come again")
         if submission.key and (queue := self.key_queues.get((submission.relay.number, submission.key))):
             while queue and queue[0].end and not queue[0].open:
                 queue.popleft()
@@ -151,18 +153,20 @@
             return now + 0.5
         if now <= submission.relay.ready_at + RESTART_GRACE_S:
             return submission.relay.ready_at + RESTART_GRACE_S + TOLERANCE_S
-        self.report(1, now, submission.id, "accepted, and no final answer by its deadline")
+        self.report(1, now, submission.id, "taken, and no end when its time was up")
         return None
 
     # -- knowledge of relays ------------------------------------------------------------------------
 
     def list_changed(self, relay, endpoint: str, up: bool, now: float) -> None:
+        """A change of an endpoint has reached a relay; up: whether it accepts pushes."""
         if up:
             self.drained.pop((relay.number, endpoint), None)
         else:
             self.drained.setdefault((relay.number, endpoint), now)
 
     def wait_requested(self, relay, unit, until: float) -> None:
+        """A relay has received a requested wait."""
         key = (relay.number, unit.name)
         self.waits[key] = max(until, self.waits.get(key, 0.0))
 
@@ -179,5 +183,5 @@
         total = sum(weight for _, _, weight in recent)
         witnessed = sum(weight for _, relay, weight in recent if relay in unit.witnesses)
         if witnessed >= WITNESSED_SHARE * total:
-            what = f"overloaded by {total:.1f} calls, {witnessed:.1f} from relays that had seen it fail"
+            what = f"pushed over by {total:.1f} calls, {witnessed:.1f} of relays that had seen it fail"
             self.report(4, now, unit.name, what)
--- a/ryestack/lab/report.py
+++ b/ryestack/lab/report.py
@@ -43,6 +43,7 @@
 
 
 def format_cell(value) -> str:
+    """The text of a table cell."""
     if isinstance(value, float):
         return f"{value:.4f}"
     return "-" if value is None else str(value)
--- a/ryestack/lab/scenario/files.py
+++ b/ryestack/lab/scenario/files.py
@@ -41,10 +41,12 @@
 
 
 def table_of(day: Scenario) -> dict:
+    """The table of a scenario, with all defaults."""
     return msgspec.to_builtins(day)
 
 
 def write(day: Scenario, path: str) -> None:
+    """Write a scenario with all keys to a TOML file."""
     with open(path, "wb") as file:
         tomli_w.dump(table_of(day), file)
 
--- a/ryestack/lab/sim/accounts.py
+++ b/ryestack/lab/sim/accounts.py
@@ -18,12 +18,14 @@
         self.requested, self.gained = np.zeros(shape), np.zeros(shape)
         benefit = arrivals.benefit_factor * np.array([t.benefit for t in day.topic])[arrivals.topic]
         self.benefit = benefit.tolist()
-        self.arrival_second = arrivals.at.astype(np.int64).tolist()
-        np.add.at(self.requested, (arrivals.at.astype(np.int64), arrivals.topic, arrivals.customer), benefit)
+        self.arrival_second = arrivals.time.astype(np.int64).tolist()
+        np.add.at(
+            self.requested, (arrivals.time.astype(np.int64), arrivals.topic, arrivals.customer), benefit
+        )
         self.topic, self.customer, self.arrival_time = (
             arrivals.topic.tolist(),
             arrivals.customer.tolist(),
-            arrivals.at.tolist(),
+            arrivals.time.tolist(),
         )
         self.delivered = [False] * len(arrivals)
         self.delivery_times: list[float] = []  # seconds from arrival to delivery
--- a/ryestack/lab/sim/clients.py
+++ b/ryestack/lab/sim/clients.py
@@ -22,14 +22,15 @@
         self.cumulative_weights: np.ndarray | None = None
 
     def start(self) -> None:
+        """Schedule the first arrival."""
         if len(self.world.arrivals):
-            self.clock.call_at(float(self.world.arrivals.at[0]), self.arrive, 0)
+            self.clock.call_at(float(self.world.arrivals.time[0]), self.arrive, 0)
 
     def arrive(self, arrival: int) -> None:
         """Submit an arrival and schedule the next one."""
         arrivals = self.world.arrivals
         if arrival + 1 < len(arrivals):
-            self.clock.call_at(float(arrivals.at[arrival + 1]), self.arrive, arrival + 1)
+            self.clock.call_at(float(arrivals.time[arrival + 1]), self.arrive, arrival + 1)
         self.world.measured.submitted(arrivals.destination[arrival], self.clock.now)
         self.submit(arrival, 0)
 
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -21,10 +21,12 @@
         self.world, self.day, self.clock = world, world.day, world.clock
 
     def start(self) -> None:
+        """Schedule all faults of the plan."""
         for fault in self.world.plan:
             self.clock.call_at(fault.at, self.begin, fault)
 
     def begin(self, fault: ScheduledFault) -> None:
+        """Start a fault at its time."""
         if fault.kind in UNIT_FAULTS:
             self.start_unit_fault(fault)
         else:
@@ -48,6 +50,7 @@
                 self.clock.call_later(fault.span, self.end_unit_fault, unit, unit_fault)
 
     def end_unit_fault(self, unit: Unit, unit_fault: UnitFault) -> None:
+        """End a fault of a unit."""
         unit.remove_fault(unit_fault, self.clock.now)
 
     def crash_endpoints(self, unit: Unit) -> None:
@@ -68,6 +71,7 @@
     # -- relays -------------------------------------------------------------------------------------
 
     def kill_all(self, fault: ScheduledFault) -> None:
+        """Stop all relays of a fault at once."""
         for number in fault.relays:
             self.stop_relay(self.world.relays[number], fault)
 
@@ -82,6 +86,7 @@
                 self.clock.call_later(i * fault.span / steps, self.stop_relay, relay, fault)
 
     def stop_relay(self, relay: Relay, fault: ScheduledFault) -> None:
+        """Kill a relay, or shut it down in order if the restart is planned."""
         if not relay.up or relay.leaving:
             return
         if fault.spec.planned:
@@ -93,6 +98,7 @@
             self.kill(relay, relay.incarnation, fault)
 
     def kill(self, relay: Relay, incarnation: int, fault: ScheduledFault) -> None:
+        """End the process of a relay and schedule its restart."""
         if relay.incarnation != incarnation or not relay.up:
             return
         waiting = [event for event in relay.inbox if type(event) is Submission]
@@ -131,6 +137,7 @@
             self.world.clients.known_dead.add(relay.number)
 
     def restart(self, relay: Relay, held: list[Submission]) -> None:
+        """Start a new process of a relay with the submissions recovered from its folder."""
         layout, judge = self.world.layout, self.world.judge
         judge.restarted(relay)
         for unit in layout.units_of(layout.routes.values()):
@@ -166,20 +173,25 @@
         self.clock.call_later(fault.span, partitions.remove, partition)
 
     def slow_handshakes(self, fault: ScheduledFault) -> None:
+        """Multiply the duration of handshakes by `size`."""
         self.world.network.handshake_factor *= fault.size
         self.clock.call_later(fault.span, self.restore_handshakes, fault.size)
 
     def restore_handshakes(self, size: float) -> None:
+        """Undo slow_handshakes."""
         self.world.network.handshake_factor /= size
 
     def delay_list(self, fault: ScheduledFault) -> None:
+        """Add `size` seconds to the lag of list changes."""
         self.world.registry.extra_lag += fault.size
         self.clock.call_later(fault.span, self.restore_list, fault.size)
 
     def restore_list(self, size: float) -> None:
+        """Undo delay_list."""
         self.world.registry.extra_lag -= size
 
     def replace(self, fault: ScheduledFault) -> None:
+        """Replace the endpoints of the destinations over the span."""
         self.world.registry.replace(fault.destinations, fault.span)
 
     def clump(self, fault: ScheduledFault) -> None:
--- a/ryestack/lab/sim/layout.py
+++ b/ryestack/lab/sim/layout.py
@@ -47,6 +47,7 @@
         self.home_buildings, self.accepted_rates = np.array(home_buildings), np.array(accepted_rates)
 
     def group_of(self, dest: int) -> Group:
+        """The group of a destination."""
         return self.day.group[self.groups[dest]]
 
     def units_of(self, routes) -> list[Unit]:
@@ -61,6 +62,7 @@
         )
 
     def add_route(self, dest: int, suffix: str, unit: Unit, building: int, slots: int, depth: int) -> Route:
+        """Create an endpoint of a unit."""
         group = self.group_of(dest)
         name = f"s{dest:04d}-{suffix}"
         route = Route(name, unit, building, slots, depth, self.clock, self.on_done, group.conns)
--- a/ryestack/lab/sim/measurements.py
+++ b/ryestack/lab/sim/measurements.py
@@ -50,10 +50,12 @@
         self.series[series][min(self.seconds - 1, int(now))] += count
 
     def submitted(self, destination: int, now: float) -> None:
+        """Count the first submission of an arrival."""
         self.series["handed"][int(now)] += 1
         self.heat_submitted[destination, int(now)] += 1
 
     def delivered(self, destination: int, second_of_arrival: int, now: float) -> None:
+        """Count a delivery."""
         self.add("delivered", now)
         self.heat_delivered[destination, second_of_arrival] += 1
 
--- a/ryestack/lab/sim/network.py
+++ b/ryestack/lab/sim/network.py
@@ -68,21 +68,25 @@
                 self.clock.call_later(handshake + call.one_way_delay, self.on_request, call)
 
     def connections_exhausted(self, route: Route, now: float) -> bool:
+        """Whether an endpoint accepts no further connection."""
         return (
             route.max_connections > 0
             and route.count_connections(now, self.day.network.idle) >= route.max_connections
         )
 
     def fail_connection(self, call: Call, delay: float) -> None:
+        """Report a failed connection after a delay."""
         call.connected_at = inf
         self.clock.call_later(delay, self.connection_failed, call)
 
     def connection_failed(self, call: Call) -> None:
+        """Pass a failed connection to the relay, unless it has abandoned the call."""
         if not call.abandoned and call.relay.incarnation == call.incarnation:
             call.state = "ended"
             call.relay.on_reply(call, Result.NO_CONNECTION, 0.0, 0.0)
 
     def close_idle(self, relay: Relay, endpoint: str) -> None:
+        """Close the idle connections of a relay to an endpoint."""
         if endpoint in self.world.layout.routes:
             self.world.layout.routes[endpoint].idle_connections.pop((relay.number, relay.incarnation), None)
 
@@ -95,9 +99,11 @@
     # -- at the endpoint ----------------------------------------------------------------------------
 
     def group_of(self, call: Call):
+        """The group of a call's destination."""
         return self.world.layout.group_of(self.destination_of(call))
 
     def destination_of(self, call: Call) -> int:
+        """The destination of a call."""
         return int(self.world.arrivals.destination[call.items[0][0].arrival])
 
     def on_request(self, call: Call) -> None:
--- a/ryestack/lab/sim/partners.py
+++ b/ryestack/lab/sim/partners.py
@@ -100,10 +100,12 @@
     # -- outages and recovery -----------------------------------------------------------------------
 
     def add_fault(self, fault: UnitFault, now: float) -> None:
+        """Activate a fault."""
         self.faults.append(fault)
         self.update_outage(now)
 
     def remove_fault(self, fault: UnitFault, now: float) -> None:
+        """Deactivate a fault."""
         if fault in self.faults:
             self.faults.remove(fault)
         self.update_outage(now)
@@ -128,6 +130,7 @@
         return 1.0 if progress >= 1.0 else self.warm_up.share + (1.0 - self.warm_up.share) * progress
 
     def is_cold(self, now: float) -> bool:
+        """Whether the unit is warming up after an outage."""
         return not self.out and now < self.cold_since + self.warm_up.time
 
     def overloaded_by(self, relay, weight: float, now: float) -> list | None:
@@ -194,12 +197,14 @@
         return True
 
     def start(self, call: Call) -> None:
+        """Run a call in a slot."""
         self.running += 1
         call.state = "running"
         self.active_calls.add(call)
         self.clock.call_later(call.work / self.unit.capacity_share(self.clock.now), self.finish, call)
 
     def finish(self, call: Call) -> None:
+        """A call has run; the next queued call takes its slot."""
         if call.state != "running":  # the process has died meanwhile
             return
         call.state = "ended"
--- a/ryestack/lab/sim/registry.py
+++ b/ryestack/lab/sim/registry.py
@@ -58,6 +58,7 @@
             self.clock.call_later(lag, self.deliver, relay, entry)
 
     def deliver(self, relay: Relay, entry: interface.Endpoint) -> None:
+        """Update the list of a relay."""
         relay.endpoints = {**relay.endpoints, entry.id: entry}
         if entry.status is EndpointStatus.GONE:
             del relay.endpoints[entry.id]
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -183,7 +183,7 @@
             submission = self.held.get(push.id)
             if submission is None:
                 if push.id in answered:
-                    self.world.judge.report(1, now, push.id, "pushed in the round of its final answer")
+                    self.world.judge.report(1, now, push.id, "pushed in the round that ended it")
                 self.deliver(interface.Outcome(push.id, 0, push.endpoint, Result.NOT_SENT, ended=True))
                 continue
             number = submission.pushes
--- a/ryestack/lab/sim/traffic.py
+++ b/ryestack/lab/sim/traffic.py
@@ -16,11 +16,11 @@
 class Arrivals:
     """One entry for each notification, ordered by time.
 
-    at: seconds; work: multiplies the destination's service time, mean 1; key: -1 where the topic type keeps
+    time: seconds; work: multiplies the destination's service time, mean 1; key: -1 where the topic type keeps
     no order; benefit_factor: 1, or the share of the benefit left over a customer's quota.
     """
 
-    at: np.ndarray
+    time: np.ndarray
     destination: np.ndarray
     topic: np.ndarray
     customer: np.ndarray
@@ -29,7 +29,7 @@
     benefit_factor: np.ndarray
 
     def __len__(self) -> int:
-        return len(self.at)
+        return len(self.time)
 
 
 def intensity(
@@ -56,8 +56,8 @@
     """Times of a Poisson process with the intensity `rate` times the level, by inverting its integral."""
     expected = np.concatenate([[0.0], np.cumsum(level * np.diff(edges) * rate)])
     count = rng.poisson(expected[-1])
-    at = np.interp(np.sort(rng.random(count)) * expected[-1], expected, edges)
-    return at[at < seconds]
+    time = np.interp(np.sort(rng.random(count)) * expected[-1], expected, edges)
+    return time[time < seconds]
 
 
 def draw(
@@ -71,9 +71,9 @@
     traffic, rng = day.traffic, streams.generator("arrivals")
     edges, level = intensity(traffic.shape, traffic.swing, day.seconds, rng)
     rate = traffic.rate * load
-    at = times(edges, level, rate * (1.0 - traffic.clumps), day.seconds, rng)
-    dest = rng.choice(len(shares), len(at), p=shares)
-    parts = [(at, dest)]
+    time = times(edges, level, rate * (1.0 - traffic.clumps), day.seconds, rng)
+    dest = rng.choice(len(shares), len(time), p=shares)
+    parts = [(time, dest)]
     if traffic.clumps > 0.0:
         sizes = np.maximum(2.0, traffic.clump * accepted_rates)
         mean = float((shares * sizes).sum())
@@ -83,12 +83,12 @@
             for b, d in zip(begins, rng.choice(len(shares), len(begins), p=shares), strict=True)
         ]
     for begin, d, count in extra:
-        times_of_clump = begin + rng.exponential(CLUMP_SPREAD_S, count)
-        times_of_clump = times_of_clump[times_of_clump < day.seconds]
-        parts.append((times_of_clump, np.full(len(times_of_clump), d)))
-    at, dest = np.concatenate([p[0] for p in parts]), np.concatenate([p[1] for p in parts])
-    order = np.argsort(at, kind="stable")
-    at, dest, n = at[order], dest[order].astype(np.int64), len(at)
+        clump_times = begin + rng.exponential(CLUMP_SPREAD_S, count)
+        clump_times = clump_times[clump_times < day.seconds]
+        parts.append((clump_times, np.full(len(clump_times), d)))
+    time, dest = np.concatenate([p[0] for p in parts]), np.concatenate([p[1] for p in parts])
+    order = np.argsort(time, kind="stable")
+    time, dest, n = time[order], dest[order].astype(np.int64), len(time)
     topic = rng.choice(len(day.topic), n, p=_normalized([x.share for x in day.topic]))
     customer = rng.choice(len(day.customer), n, p=_normalized([x.share for x in day.customer]))
     ordered = np.array([x.keep_order for x in day.topic])
@@ -102,7 +102,7 @@
             service.shape, service.cv, service.values, work_rng, int(selected.sum())
         )
     work *= np.array([x.work for x in day.topic])[topic]
-    return Arrivals(at, dest, topic, customer, work, key, _benefit_factors(day, at, customer))
+    return Arrivals(time, dest, topic, customer, work, key, _benefit_factors(day, time, customer))
 
 
 def _normalized(weights: list[float]) -> np.ndarray:
@@ -110,16 +110,16 @@
     return values / values.sum()
 
 
-def _benefit_factors(day, at: np.ndarray, customer: np.ndarray) -> np.ndarray:
+def _benefit_factors(day, time: np.ndarray, customer: np.ndarray) -> np.ndarray:
     """1 within the customer's quota, averaged over five seconds, and traffic.over_share above it."""
-    factors, shares = np.ones(len(at)), _normalized([c.share for c in day.customer])
+    factors, shares = np.ones(len(time)), _normalized([c.share for c in day.customer])
     for i, c in enumerate(day.customer):
         if c.quota <= 0.0:
             continue
         rate = max(1e-9, c.quota * shares[i] * day.traffic.rate)
         level = last = 0.0
         for n in np.flatnonzero(customer == i):
-            level, last = max(0.0, level - rate * (at[n] - last)), at[n]
+            level, last = max(0.0, level - rate * (time[n] - last)), time[n]
             if level + 1.0 > rate * 5.0 + 1.0:
                 factors[n] = day.traffic.over_share
             else:
--- a/ryestack/lab/sim/world.py
+++ b/ryestack/lab/sim/world.py
@@ -52,6 +52,7 @@
         self.measured = Measurements(self.seconds, len(self.layout.shares))
 
     def draw_arrivals(self) -> traffic.Arrivals:
+        """The arrivals, with the clumps of the plan's faults."""
         layout = self.layout
         clumps = [
             (fault.at, dest, ceil(fault.size * layout.accepted_rates[dest]))
@@ -62,6 +63,7 @@
         return traffic.draw(self.day, layout.shares, layout.accepted_rates, self.load, clumps, self.streams)
 
     def make_relay(self, number: int, policy) -> Relay:
+        """Create a relay with a seed of its own."""
         building = number % self.day.network.buildings
         return Relay(self, number, building, self.settings, policy, self.seed * RELAY_SEED_STRIDE + number)
 
@@ -79,4 +81,5 @@
         return self
 
     def sample(self, second: int) -> None:
+        """Take the measurements of a second."""
         self.measured.sample(second, self.relays, len(self.layout.routes))
--- a/ryestack/lab/sweep.py
+++ b/ryestack/lab/sweep.py
@@ -54,10 +54,12 @@
 
 
 def row_name(day, point: dict, seed: int, policy: str, tree: str) -> str:
+    """The unique name of a job's row; tree: the git revision."""
     return json.dumps([mark_of(day), point, seed, policy, tree], sort_keys=True)
 
 
 def play_job(day, point: dict, seed: int, policy: str, tree: str) -> dict:
+    """Play a day; returns its row."""
     summary = bare(play(day, seed, policy).summary)
     return {"name": row_name(day, point, seed, policy, tree), "revision": tree, "hash": mark_of(day),
             "keys": point, **summary}  # fmt: skip
--- a/ryestack/lab/validity.py
+++ b/ryestack/lab/validity.py
@@ -35,6 +35,7 @@
 
     @property
     def good(self) -> bool:
+        """Whether the interval contains the theoretical value."""
         return self.low <= self.theory <= self.high
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,7 @@
 
     def test_policies_receive_the_same_arrivals(self):
         worlds = [World(day(), 3, POLICIES[name]).run() for name in ("one-try", "best")]
-        self.assertEqual(worlds[0].arrivals.at.tolist(), worlds[1].arrivals.at.tolist())
+        self.assertEqual(worlds[0].arrivals.time.tolist(), worlds[1].arrivals.time.tolist())
 
     def test_a_day_without_faults_is_delivered_and_with_faults_the_ceiling_is_above_the_floor(self):
         self.assertGreater(play(day(), 1).summary["G"], 0.98)
--- a/tests/test_emulator_parts.py
+++ b/tests/test_emulator_parts.py
@@ -53,10 +53,10 @@
         shares = np.array([0.4, 0.3, 0.2, 0.1])
         found = traffic.draw(made, shares, shares * 100, 0.5, [(50.0, 2, 500)], RandomStreams(2))
         self.assertAlmostEqual(len(found) / 10_500, 1.0, delta=0.07)
-        self.assertTrue(np.all(np.diff(found.at) >= 0.0))
+        self.assertTrue(np.all(np.diff(found.time) >= 0.0))
         self.assertAlmostEqual((found.topic == 0).mean(), 0.75, delta=0.02)
         self.assertEqual(set((found.key >= 0)[found.topic == 0].tolist()), {False})
-        burst = (found.at > 50.0) & (found.at < 51.0) & (found.destination == 2)
+        burst = (found.time > 50.0) & (found.time < 51.0) & (found.destination == 2)
         self.assertGreater(burst.sum(), 300)
         over = found.benefit_factor[found.customer == 0] < 1.0
         self.assertAlmostEqual(over.mean(), 0.5, delta=0.1)  # it submits twice its quota
