--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -20,7 +20,7 @@
 
 
 def one(relays: int, destinations: int, rate: float, seconds: float, seed: int) -> dict:
-    day = scenario.of(
+    day = scenario.from_table(
         {
             "format": 1,
             "seconds": seconds,
