--- a/ryestack/lab/policies/best.py
+++ b/ryestack/lab/policies/best.py
@@ -17,7 +17,7 @@
 
     TIMEOUT = 60.0  # seconds; every push will run, and a timeout would only lose its result
 
-    def observe(self, world, relay) -> None:
+    def observe_world(self, world, relay) -> None:
         """Give the policy access to the true state of the world."""
         self.world, self.relay = world, relay
         if not hasattr(world, "best_in_flight"):
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -53,8 +53,8 @@
         self.up, self.leaving, self.ready_at = True, False, now
         self.slots, self.inbox, self.scheduled = self.settings.slots, [], False
         self.brain = self.policy(self.settings, self.seed + 7919 * self.incarnation)
-        if hasattr(self.brain, "observe"):
-            self.brain.observe(self.world, self)
+        if hasattr(self.brain, "observe_world"):
+            self.brain.observe_world(self.world, self)
         self.held = {submission.id: submission for submission in recovered}
         events = [interface.ListUpdate(tuple(self.endpoints.values()), whole=True)]
         for submission in recovered:
--- a/ryestack/lab/sim/settings.py
+++ b/ryestack/lab/sim/settings.py
@@ -8,7 +8,7 @@
 from ..scenario import Scenario
 from .layout import Layout
 
-SLOT_HEADROOM = 2.0  # slots over those that a relay's share of the traffic needs, if the scenario sets none
+SLOT_HEADROOM = 2.0  # factor over the slots that a relay's traffic needs, if the scenario sets none
 MAX_OPEN_S = 10.0  # seconds of a relay's share of the traffic that it may hold, if the scenario sets no limit
 
 
