--- a/ryestack/lab/policies/base.py
+++ b/ryestack/lab/policies/base.py
@@ -163,7 +163,7 @@
     # -- held notifications -------------------------------------------------------------------------
 
     def wait_scope(self, route: str):
-        """What a requested wait applies to: the route, or its destination."""
+        """What a requested wait applies to: the route if limits are per route, else its destination."""
         endpoint = self.endpoints[route]
         kind = self.kinds.get(endpoint.kind)
         return route if kind and kind.per_route else endpoint.destination
@@ -185,7 +185,8 @@
         closes = held.may_have_run_at + held.topic.window - WINDOW_MARGIN_S
         return held.may_have_run_at == inf or held.topic.effect is Effect.REPEATABLE or self.now < closes
 
-    def is_first_of_key(self, held: Held) -> bool:
+    def key_is_free(self, held: Held) -> bool:
+        """Whether a notification is the first of its key and the key does not rest."""
         if not held.key:
             return True
         return self.key_queues[held.key][0] is held and self.now >= self.key_rests.get(held.key, 0.0)
@@ -208,7 +209,7 @@
             ]
             route = (
                 self.choose(held, routes)
-                if routes and self.is_first_of_key(held) and self.now < self.shutdown_at
+                if routes and self.key_is_free(held) and self.now < self.shutdown_at
                 else None
             )
             if route is None:
@@ -240,7 +241,7 @@
         self.release_key(held)
 
     def release_key(self, held: Held) -> None:
-        """Let the next notification of a key go."""
+        """Remove a finished notification from the queue of its key."""
         if held.key and held.state == "over" and not held.in_flight:
             queue = self.key_queues[held.key]
             if held in queue:
--- a/ryestack/lab/sim/injector.py
+++ b/ryestack/lab/sim/injector.py
@@ -102,7 +102,7 @@
         if relay.incarnation != incarnation or not relay.up:
             return
         waiting = [event for event in relay.inbox if type(event) is Submission]
-        held = relay.die()
+        held = relay.terminate()
         clients, lags = self.world.clients, self.world.lags
         for submission in waiting:  # their clients received no answer
             self.clock.call_later(
--- a/ryestack/lab/sim/relays.py
+++ b/ryestack/lab/sim/relays.py
@@ -62,7 +62,7 @@
             events.append(self.world.clients.notification(submission))
         self.apply(events, self.run_policy(events), {})
 
-    def die(self) -> list[Submission]:
+    def terminate(self) -> list[Submission]:
         """End the process; returns its open notifications."""
         self.up, self.incarnation = False, self.incarnation + 1
         held, self.held = list(self.held.values()), {}
