--- a/tests/emulated.py
+++ b/tests/emulated.py
@@ -1,7 +1,7 @@
-"""Parts of emulated days that several tests build."""
+"""Builders of emulated days, shared by several tests."""
 
 from ryestack.lab import scenario as sc
-from ryestack.lab.sim.partners import Cold, Unit
+from ryestack.lab.sim.partners import Unit, WarmUp
 
 TOPICS = [
     sc.Topic("again", effect="repeatable"),
@@ -12,8 +12,8 @@
 
 def day(**more):
     base = {"format": 1, "seconds": 20.0, "group": [{"count": 4}], "traffic": {"rate": 20.0}}
-    return sc.of({**base, **more})
+    return sc.from_table({**base, **more})
 
 
 def unit(**more):
-    return Unit("u", 10.0, Cold(0.5, 10.0, 1.5, 1.0, 5.0), **more)
+    return Unit("u", 10.0, WarmUp(0.5, 10.0, 1.5, 1.0, 5.0), **more)
