--- a/ryestack/lab/__init__.py
+++ b/ryestack/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Load on sockets, the judge of the rules, and trials. Needs the extra `lab`; `run` never imports it."""
+"""Load generation, judging of the rules, and trials. Needs the extra `lab`; the relay never imports it."""
--- a/ryestack/lab/load.py
+++ b/ryestack/lab/load.py
@@ -1,7 +1,8 @@
-"""An open loop of hand-ins on real sockets: each is sent at its time, however the others fare.
+"""An open-loop load generator on real sockets: each request is sent at its scheduled time, whatever returns.
 
-Latency counts from the time a hand-in was meant to be sent, so that waiting for a connection is in it and no
-omission is coordinated with the relay. What it saw is judged by the oracle from others' books.
+Latency is measured from the time at which a request was scheduled to be sent. This includes the wait for a
+connection and avoids coordinated omission. The oracle judges the results from the books of the partners and
+the platform.
 """
 
 import asyncio
@@ -18,14 +19,14 @@
 from .oracle import Handed, Judged, judge
 from .shapes import times
 
-LOWEST, HIGHEST, DIGITS = 1, 3_600_000_000, 3  # microseconds, up to an hour, to a thousandth
-PARTS = (50.0, 90.0, 99.0, 99.9)
+LOWEST_US, HIGHEST_US, DIGITS = 1, 3_600_000_000, 3  # up to an hour, with three significant digits
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 ANSWERS = {202: "taken", 200: "taken", 429: "throttled", 503: "throttled", 400: "malformed"}
 
 
 @dataclass(slots=True)
 class Topic:
-    """effect: as the oracle's; ttl: seconds."""
+    """A topic type. effect: one of oracle.EFFECTS; ttl: seconds."""
 
     name: str
     effect: str
@@ -34,9 +35,10 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What is sent: topics and destinations are drawn evenly.
+    """What is sent. Topics, destinations and customers are drawn uniformly.
 
-    rate: a second; patience: seconds for an answer; window: of collapsible topics; size: bytes of a body.
+    rate: requests a second; patience: seconds a client waits for an answer; window: seconds, of collapsible
+    topics; size: bytes of a body.
     """
 
     topics: list[Topic]
@@ -53,91 +55,101 @@
 
 
 class Load:
-    """Sends a plan to relays, in turn, and keeps what its clients saw."""
+    """Sends the requests of a plan to the relays in round-robin order and records the clients' view."""
 
     def __init__(self, plan: Plan, relays: list[str], note: Callable[[int], None] = lambda _: None):
         self.plan, self.relays, self.note = plan, relays, note
         self.handed: list[Handed] = []
-        self.chance, self.mark = Random(plan.seed), Random().randbytes(4).hex()
+        self.rng, self.id_prefix = Random(plan.seed), Random().randbytes(4).hex()
 
     async def run(self) -> None:
         plan, tasks, behind = self.plan, set(), 0.0
         connector = aiohttp.TCPConnector(limit=plan.connections, keepalive_timeout=2.0)
-        jar, none = aiohttp.DummyCookieJar(), aiohttp.ClientTimeout(total=None)
-        async with aiohttp.ClientSession(connector=connector, cookie_jar=jar, timeout=none) as session:
-            began, wall = time.monotonic(), time.time()
-            for number, at in enumerate(times(plan.shape, plan.rate, plan.seconds, self.chance)):
-                wait = began + at - time.monotonic()
+        cookie_jar, no_timeout = aiohttp.DummyCookieJar(), aiohttp.ClientTimeout(total=None)
+        async with aiohttp.ClientSession(
+            connector=connector, cookie_jar=cookie_jar, timeout=no_timeout
+        ) as session:
+            started_at, wall_started_at = time.monotonic(), time.time()
+            for number, offset in enumerate(times(plan.shape, plan.rate, plan.seconds, self.rng)):
+                wait = started_at + offset - time.monotonic()
                 behind = max(behind, -wait)
                 if wait > 0.0:
                     await asyncio.sleep(wait)
-                one = self.draw(number, wall + at)
-                task = asyncio.ensure_future(self.send(session, one, self.relays[number % len(self.relays)]))
+                request = self.draw(number, wall_started_at + offset)
+                task = asyncio.ensure_future(
+                    self.send(session, request, self.relays[number % len(self.relays)])
+                )
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
                 self.note(number + 1)
             if tasks:
                 await asyncio.wait(tasks)
 
-    def draw(self, number: int, meant: float) -> Handed:
-        topic = self.chance.choice(self.plan.topics)
-        name = f"{self.mark}-{number}"
+    def draw(self, number: int, intended_at: float) -> Handed:
+        """A request of a random topic, recorded as not yet answered. intended_at: its scheduled wall time."""
+        topic = self.rng.choice(self.plan.topics)
+        name = f"{self.id_prefix}-{number}"
         key = f"k-{name}" if topic.effect == "collapsible" else ""
-        one = Handed(name, topic.name, topic.effect, key, meant, meant + topic.ttl)
-        self.handed.append(one)
-        return one
+        request = Handed(name, topic.name, topic.effect, key, intended_at, intended_at + topic.ttl)
+        self.handed.append(request)
+        return request
 
-    async def send(self, session: aiohttp.ClientSession, one: Handed, relay: str) -> None:
-        left = max(0.001, one.due - time.time())
+    async def send(self, session: aiohttp.ClientSession, request: Handed, relay: str) -> None:
+        """Sends one request and records its answer; none is recorded if it fails or times out."""
+        left = max(0.001, request.due - time.time())
         headers = {
-            "X-Request-Id": one.id,
-            "X-Class": one.topic,
+            "X-Request-Id": request.id,
+            "X-Class": request.topic,
             "X-Deadline": f"{left * 1000.0:.3f}m",
-            "X-Envelope": f"dest={self.chance.choice(self.plan.destinations)}",
-            "X-Tenant": self.chance.choice(self.plan.customers),
+            "X-Envelope": f"dest={self.rng.choice(self.plan.destinations)}",
+            "X-Tenant": self.rng.choice(self.plan.customers),
         }
-        if one.key:
-            headers["Idempotency-Key"] = one.key
-        body = (one.id.encode() + b"." * self.plan.size)[: self.plan.size]
+        if request.key:
+            headers["Idempotency-Key"] = request.key
+        body = (request.id.encode() + b"." * self.plan.size)[: self.plan.size]
         with suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with asyncio.timeout(self.plan.patience):
                 async with session.post(f"http://{relay}/api", data=body, headers=headers) as answer:
-                    one.answer, one.heard = ANSWERS.get(answer.status, "expired"), time.time()
+                    request.answer, request.answered_at = ANSWERS.get(answer.status, "expired"), time.time()
 
 
 async def books_of(control: str) -> book.Books:
-    """The books of a stand-in; raises OSError or aiohttp.ClientError where it cannot be reached."""
+    """Fetches a stand-in's books; raises OSError or aiohttp.ClientError if its control cannot be reached."""
     async with aiohttp.ClientSession() as session, session.get(f"http://{control}/books") as answer:
         return book.load(await answer.read())
 
 
 async def settled(load: Load, collect, longest: float, step: float = 0.25) -> Judged:
-    """Judge once each taken one has its end, or its time is up. collect() gives (runs, notices, whole)."""
-    until = time.monotonic() + longest
+    """Judges once no taken request is pending, or after longest seconds; checks every step seconds.
+
+    collect() returns (runs, notices, whole).
+    """
+    deadline = time.monotonic() + longest
     while True:
         runs, notices, whole = await collect()
-        told = judge(load.handed, runs, notices, time.time(), load.plan.window, whole)
-        if not told.pending or time.monotonic() >= until:
-            return told
+        result = judge(load.handed, runs, notices, time.time(), load.plan.window, whole)
+        if not result.pending or time.monotonic() >= deadline:
+            return result
         await asyncio.sleep(step)
 
 
 def histogram(seconds: list[float]) -> HdrHistogram:
-    made = HdrHistogram(LOWEST, HIGHEST, DIGITS)
-    for each in seconds:
-        made.record_value(min(HIGHEST, max(LOWEST, round(each * 1e6))))
-    return made
+    """A histogram in microseconds; values outside its range are clamped."""
+    recorded = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    for value in seconds:
+        recorded.record_value(min(HIGHEST_US, max(LOWEST_US, round(value * 1e6))))
+    return recorded
 
 
-def figures(told: Judged) -> dict:
+def figures(result: Judged) -> dict:
     """The result as plain values: counts, and latencies in milliseconds."""
     names = (
         "handed", "taken", "delivered", "throttled", "expired", "at_the_door", "unheard", "pending", "lost",
         "twice", "late", "after_its_end", "two_ends", "false_ends",
     )  # fmt: skip
-    result = {name: getattr(told, name) for name in names}
-    for name, values in (("to_answer_ms", told.to_answer), ("to_effect_ms", told.to_effect)):
-        made = histogram(values)
-        found = {f"p{p:g}": made.get_value_at_percentile(p) / 1000.0 for p in PARTS}
-        result[name] = found if values else dict.fromkeys(found)
-    return {**result, "whole": told.whole, "broken": told.broken, "good": told.good()}
+    report = {name: getattr(result, name) for name in names}
+    for name, values in (("to_answer_ms", result.to_answer), ("to_effect_ms", result.to_effect)):
+        recorded = histogram(values)
+        percentiles = {f"p{p:g}": recorded.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
+        report[name] = percentiles if values else dict.fromkeys(percentiles)
+    return {**report, "whole": result.whole, "broken": result.broken, "good": result.good()}
--- a/ryestack/lab/trial.py
+++ b/ryestack/lab/trial.py
@@ -1,4 +1,4 @@
-"""The main job in one run: a platform, partners and a relay on free ports; load, faults, a kill, a judge."""
+"""End-to-end trial: a platform, partners and a relay on free ports, under load and faults, judged."""
 
 import asyncio
 import json
@@ -28,17 +28,17 @@
     Topic("charge", "once-only", 12.0),
 ]
 WINDOW = 6.0  # seconds, of the collapsible topic type
-LOAD = 9.0  # seconds of hand-ins
-FALLS, RETURNS, KILLED = 2.0, 5.5, 4.0  # seconds from the first hand-in
-READY = 8.0  # seconds that a relay may take to serve
+LOAD = 9.0  # seconds during which requests are sent
+FALLS, RETURNS, KILLED = 2.0, 5.5, 4.0  # seconds from the first request
+READY = 8.0  # seconds that a relay may take until it serves
 
 
 class TrialFailed(Exception):
-    """The trial itself could not be run; the text says why."""
+    """The trial could not be carried out; the message gives the reason."""
 
 
 def stage(seed: int) -> Stage:
-    """Three partners: one that falls and comes back cold, one with a limit, one that is merely there."""
+    """Three partners: one that fails and returns cold, one with a rate limit, one without faults."""
     base = {"address": "127.0.0.1:0", "kind": "shop", "pace": Pace(mean=0.04)}
     rows = [
         Endpoint("falls-a", 1, weight=40.0, cold_time=3.0, **base),
@@ -55,14 +55,15 @@
 
 
 def platform_config(listen: str, discovery: str, known: dict, topics: list[Topic], seed: int) -> dict:
-    """A configuration in the platform's form for a stage."""
+    """A relay configuration in the platform's format, for a stage."""
     effects = {"repeatable": "safe", "collapsible": "keyed", "once-only": "unsafe"}
     grades = [
         {
-            "name": t.name, "effect": effects[t.effect], "targetMs": 2000.0, "deadlineMs": t.ttl * 1000.0,
+            "name": topic.name, "effect": effects[topic.effect],
+            "targetMs": 2000.0, "deadlineMs": topic.ttl * 1000.0,
             "windowMs": WINDOW * 1000.0, "credit": 1.0, "lateShare": 0.4,
         }
-        for t in topics
+        for topic in topics
     ]  # fmt: skip
     return {
         "name": "n0", "listen": listen, "discovery": discovery, "seed": f"{seed:x}",
@@ -84,8 +85,8 @@
 
 
 def free_port() -> int:
-    """One below those that the system gives to outgoing connections: none of them takes it before its user
-    does."""
+    """A free port below the range that the system uses for outgoing connections, so that none of them takes
+    it before its user does."""
     while True:
         port = random.randrange(20_000, 32_000)
         with suppress(OSError), socket.create_server(("127.0.0.1", port)):
@@ -93,7 +94,10 @@
 
 
 class RelayProcess:
-    """A relay as a child of its own, so that a signal to us is none to it; close() leaves none."""
+    """A relay as a child process in its own session, so that it gets no signals meant for the parent.
+
+    close() kills it if it still runs.
+    """
 
     ready_within = READY
 
@@ -113,63 +117,71 @@
         (folder / "config.json").write_text(json.dumps(config))
 
     async def start(self) -> float:
-        """Seconds until it served."""
-        kept = {name: value for name, value in os.environ.items() if not name.startswith("RYESTACK_")}
-        env = {**kept, "LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder / "state")}
+        """Starts the process; returns the seconds until it served. Raises TrialFailed if it does not serve."""
+        inherited = {key: value for key, value in os.environ.items() if not key.startswith("RYESTACK_")}
+        env = {
+            **inherited,
+            "LB_CONFIG": str(self.folder / "config.json"),
+            "LB_STATE": str(self.folder / "state"),
+        }
         env |= self.environment
         if self.ops:
             env["LB_OPS"] = self.ops
-        began = time.monotonic()
+        started_at = time.monotonic()
         with open(self.folder / "relay.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *self.command, env=env, stdout=log, stderr=log, cwd=self.cwd, start_new_session=True
             )
-        while time.monotonic() < began + self.ready_within:
+        while time.monotonic() < started_at + self.ready_within:
             if self.process.returncode is not None:
-                raise TrialFailed(f"the relay ended with {self.process.returncode}:\n{self.tail()}")
+                raise TrialFailed(f"the relay exited with status {self.process.returncode}:\n{self.tail()}")
             if await (self.ready() if self.ops else self.healthy()):
-                return time.monotonic() - began
+                return time.monotonic() - started_at
             await asyncio.sleep(0.01)
         raise TrialFailed(f"the relay did not serve within {self.ready_within:g} s:\n{self.tail()}")
 
     async def healthy(self) -> bool:
+        """Whether a relay serves at the clients' address; it need not be this process."""
         return await self.ask("GET", self.address, "/_health") == 200
 
     async def ready(self) -> bool:
-        """Of this process alone: another one may serve at the clients' address."""
+        """Whether this very process is ready: another one may serve at the clients' address."""
         return await self.ask("GET", self.ops, "/-/ready") == 200
 
     async def ask(self, method: str, address: str, path: str) -> int:
-        """The answer's status, 0 if there is none."""
+        """Sends a request; returns the HTTP status of the answer, or 0 if there is none within 0.5 s."""
         try:
-            limit = aiohttp.ClientTimeout(total=0.5)
-            async with aiohttp.request(method, f"http://{address}{path}", timeout=limit) as answer:
+            timeout = aiohttp.ClientTimeout(total=0.5)
+            async with aiohttp.request(method, f"http://{address}{path}", timeout=timeout) as answer:
                 return answer.status
         except (aiohttp.ClientError, OSError, TimeoutError):
             return 0
 
     def tail(self) -> str:
+        """The last lines of the relay's log."""
         return "\n".join((self.folder / "relay.log").read_text(errors="replace").splitlines()[-8:])
 
     async def kill(self, number: int = signal.SIGKILL) -> int:
+        """Sends a signal and waits for the exit; returns the exit status, 0 if it was never started."""
         if self.process and self.process.returncode is None:
             self.process.send_signal(number)
         return await self.process.wait() if self.process else 0
 
     async def close(self) -> None:
+        """Kills the process if it still runs, and waits for its exit."""
         if self.process and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
 
 async def killed(relay: RelayProcess, say: Callable[[str], None]) -> tuple[RelayProcess, dict]:
-    """The story of the main job: a kill -9 while a partner is down."""
+    """The default story: the relay gets SIGKILL while a partner is down, and is started again."""
     await asyncio.sleep(KILLED)
     status = await relay.kill()
-    say(f"killed the relay {KILLED:g} s after the first hand-in (status {status}), its folder stays")
-    second = await relay.start()
-    say(f"it serves again after {second:.2f} s; destination 1 returns {RETURNS:g} s after the first")
-    return relay, {"restart_s": second}
+    say(f"killed the relay {KILLED:g} s after the first request (status {status}), its state directory stays")
+    restart_seconds = await relay.start()
+    say(f"it serves again after {restart_seconds:.2f} s; destination 1 returns {RETURNS:g} s after the first")
+    return relay, {"restart_s": restart_seconds}
 
 
 async def run(
@@ -181,9 +193,10 @@
     story=killed,
     seconds: float = LOAD,
 ) -> tuple[Judged, dict]:
-    """The whole trial; returns what was judged and a few facts of the run.
+    """Runs a whole trial; returns the judged result and a few facts of the run.
 
-    story(relay, say): what befalls the relay while it is under load; the relay there is then, and facts.
+    rate: requests a second; say: prints a line; note: gets the number of requests sent so far.
+    story(relay, say): acts on the relay while it is under load; returns the relay that runs then, and facts.
     """
     partner = Partner(stage(seed))
     platform = relay = None
@@ -196,16 +209,20 @@
         relay = RelayProcess(
             platform_config(listen, platform.address, platform.listing(), TOPICS, seed), folder
         )
-        first = await relay.start()
+        start_seconds = await relay.start()
         say(f"relay on {listen}, platform on {platform.address}, {len(addresses)} endpoints of 3 partners")
         plan = Plan(TOPICS, [1, 2, 3], ["acme"], rate=rate, seconds=seconds, seed=seed, window=WINDOW)
         load = Load(plan, [listen], note)
-        partner.began = platform.began = time.monotonic()  # the timeline begins with the load
-        relay, more = await under_load(load, story(relay, say))
-        told = await settled(load, partial(entries, partner, platform), max(t.ttl for t in TOPICS) + 2.0)
+        partner.began = platform.began = (
+            time.monotonic()
+        )  # the stage's changes are timed from the start of the load
+        relay, story_facts = await under_load(load, story(relay, say))
+        result = await settled(
+            load, partial(entries, partner, platform), max(topic.ttl for topic in TOPICS) + 2.0
+        )
         status = await relay.kill(signal.SIGTERM)
         say(f"stopped the relay by SIGTERM: status {status}")
-        return told, {"start_s": first, **more, **facts_of(partner, status)}
+        return result, {"start_s": start_seconds, **story_facts, **facts_of(partner, status)}
     finally:
         for part in (relay, partner, platform):
             if part:
@@ -213,21 +230,22 @@
 
 
 async def under_load(load: Load, story):
-    """What the story returns, once all is handed in; nothing is handed in any more if it fails."""
+    """Returns the story's result once all requests are sent; stops sending if the story fails."""
     sending = asyncio.ensure_future(load.run())
     try:
-        told = await story
+        result = await story
         await sending
     finally:
         sending.cancel()
-    return told
+    return result
 
 
 async def entries(partner: Partner, platform: Platform) -> tuple[list, list, bool]:
-    """The books' effects and notices, and whether both books are whole."""
+    """The executions and notices in the books, and whether both books are complete."""
     return partner.books.runs, platform.books.notices, partner.books.whole and platform.books.whole
 
 
 def facts_of(partner: Partner, status: int) -> dict:
-    refused = sum(count for what, count in partner.books.calls.items() if what.endswith(" full"))
+    """Calls that partners answered "full", and the relay's exit status."""
+    refused = sum(count for call, count in partner.books.calls.items() if call.endswith(" full"))
     return {"turned_away_by_partners": refused, "stop_status": status}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -28,63 +28,63 @@
     return judge(list(ones), list(runs), list(notices), now, 6.0)
 
 
-class TheJudge(unittest.TestCase):
-    def broken(self, told, what):
-        self.assertEqual((getattr(told, what), told.good()), (1, False), told.broken)
-        self.assertEqual(len(told.broken), 1)
+class Judge(unittest.TestCase):
+    def assert_one_violation(self, result, counter):
+        self.assertEqual((getattr(result, counter), result.good()), (1, False), result.broken)
+        self.assertEqual(len(result.broken), 1)
 
-    def test_good_ends(self):
-        for runs, notices, what in (
+    def test_valid_outcomes(self):
+        for runs, notices, counter in (
             ([ran()], [], "delivered"),
             ([], [Notice("n", "returned", 2.0)], "throttled"),
             ([ran(answered=False)], [Notice("n", "failed", 2.0)], "expired"),
-            ([ran()], [Notice("n", "failed", 2.0)], "expired"),  # it ran, its answer did not arrive
+            ([ran()], [Notice("n", "failed", 2.0)], "expired"),  # executed, but the answer was lost
         ):
-            told = judged(handed(), runs=runs, notices=notices)
-            self.assertEqual((getattr(told, what), told.good()), (1, True), what)
-        told = judged(handed(answer="throttled"), handed("m", answer="unheard"), runs=[ran("m")])
-        self.assertEqual((told.at_the_door, told.unheard, told.good()), (1, 1, True))
-
-    def test_lost_and_not_yet_lost(self):
-        self.broken(judged(handed()), "lost")
-        self.broken(judged(handed(), runs=[ran(answered=False)]), "lost")
-        told = judged(handed(), now=20.2)
-        self.assertEqual((told.pending, told.good()), (1, True))
-
-    def test_twice_by_what_a_repeat_does(self):
-        self.broken(judged(handed(), runs=[ran(), ran(at=2.0)]), "twice")
-        self.broken(judged(handed(answer="unheard"), runs=[ran(), ran(at=2.0)]), "twice")
+            result = judged(handed(), runs=runs, notices=notices)
+            self.assertEqual((getattr(result, counter), result.good()), (1, True), counter)
+        result = judged(handed(answer="throttled"), handed("m", answer="unheard"), runs=[ran("m")])
+        self.assertEqual((result.at_the_door, result.unheard, result.good()), (1, 1, True))
+
+    def test_lost_only_after_the_deadline(self):
+        self.assert_one_violation(judged(handed()), "lost")
+        self.assert_one_violation(judged(handed(), runs=[ran(answered=False)]), "lost")
+        result = judged(handed(), now=20.2)
+        self.assertEqual((result.pending, result.good()), (1, True))
+
+    def test_duplicates_are_judged_by_effect(self):
+        self.assert_one_violation(judged(handed(), runs=[ran(), ran(at=2.0)]), "twice")
+        self.assert_one_violation(judged(handed(answer="unheard"), runs=[ran(), ran(at=2.0)]), "twice")
         again = [ran(key="k"), ran(at=6.9, key="k")]
         self.assertTrue(judged(handed(effect="collapsible", key="k"), runs=again).good())
         again.append(ran(at=7.1, key="k"))
-        self.broken(judged(handed(effect="collapsible", key="k"), runs=again), "twice")
+        self.assert_one_violation(judged(handed(effect="collapsible", key="k"), runs=again), "twice")
         self.assertTrue(judged(handed(effect="repeatable"), runs=[ran(), ran(at=2.0)]).good())
 
-    def test_pushed_after_its_time_or_its_end(self):
-        self.broken(judged(handed(), runs=[ran(at=20.4)]), "late")
+    def test_pushed_after_the_deadline_or_the_outcome(self):
+        self.assert_one_violation(judged(handed(), runs=[ran(at=20.4)]), "late")
         self.assertTrue(judged(handed(), runs=[ran(at=21.0, came=19.0)]).good())
         failed = Notice("n", "failed", 2.0)
-        self.broken(judged(handed(), runs=[ran(at=2.3)], notices=[failed]), "after_its_end")
+        self.assert_one_violation(judged(handed(), runs=[ran(at=2.3)], notices=[failed]), "after_its_end")
         self.assertTrue(judged(handed(), runs=[ran(at=2.2)], notices=[failed]).good())
-        self.broken(judged(handed(answer="throttled"), runs=[ran()]), "after_its_end")
+        self.assert_one_violation(judged(handed(answer="throttled"), runs=[ran()]), "after_its_end")
 
-    def test_ends_that_contradict(self):
+    def test_contradicting_outcomes(self):
         both = [Notice("n", "failed", 2.0), Notice("n", "returned", 3.0)]
-        self.broken(judged(handed(), notices=both), "two_ends")
-        self.assertTrue(judged(handed(), notices=[both[0], Notice("n", "failed", 4.0)]).good())  # told again
-        self.broken(judged(handed(), runs=[ran()], notices=[both[1]]), "false_ends")
+        self.assert_one_violation(judged(handed(), notices=both), "two_ends")
+        self.assertTrue(judged(handed(), notices=[both[0], Notice("n", "failed", 4.0)]).good())  # repeated
+        self.assert_one_violation(judged(handed(), runs=[ran()], notices=[both[1]]), "false_ends")
 
-    def test_what_nobody_handed_in_and_books_that_are_not_whole(self):
+    def test_unknown_notifications_and_incomplete_books(self):
         self.assertFalse(judged(runs=[ran("x")]).good())
         self.assertFalse(judge([], [], [], NOW, 6.0, whole=False).good())
 
-    def test_a_whole_life_is_told(self):
+    def test_a_violation_shows_the_whole_timeline(self):
         [line] = judged(handed(), runs=[ran(), ran(at=2.0, answered=False)]).broken
-        self.assertIn("+1.000 ran at e; +2.000 ran at e, no answer written; +20.000 its time is up", line)
+        self.assertIn("+1.000 executed at e; +2.000 executed at e, no answer written; +20.000 deadline", line)
 
 
 class Shapes(unittest.TestCase):
-    def test_each_has_its_rate_and_its_order_and_the_same_seed_the_same_times(self):
+    def test_shapes_have_their_rate_are_ordered_and_repeat_for_a_seed(self):
         for shape in ("constant", "poisson", "bursts"):
             found = list(times(shape, 50.0, 40.0, Random(7)))
             self.assertAlmostEqual(len(found) / 2000, 1.0, delta=0.07)
@@ -97,39 +97,39 @@
 
 
 class Staff(unittest.IsolatedAsyncioTestCase):
-    async def test_upgrades_kills_bad_files_and_a_drain_lose_nothing_and_double_nothing(self):
+    async def test_upgrades_kills_bad_files_and_a_drain_neither_lose_nor_duplicate(self):
         with tempfile.TemporaryDirectory() as folder:
-            told, facts = await trial.run(
+            result, facts = await trial.run(
                 Path(folder), 20.0, 3, lambda _: None, lambda _: None, operation.story, operation.LOAD)
-        self.assertEqual(told.broken, [])
-        self.assertTrue(told.good() and told.taken > 200, told)
+        self.assertEqual(result.broken, [])
+        self.assertTrue(result.good() and result.taken > 200, result)
         self.assertEqual(facts["upgrades"], 3)
 
 
 class OpenLoop(unittest.IsolatedAsyncioTestCase):
-    async def test_waiting_for_a_connection_is_in_the_latency(self):
+    async def test_latency_includes_the_wait_for_a_connection(self):
         server, address = await stand_in(lambda *_: time.sleep(0.03) or http(202))
         topics = [Topic("t", "once-only", 5.0)]
         plan = Plan(topics, [1], rate=200.0, seconds=0.1, connections=1, shape="constant", patience=5.0)
         load = Load(plan, [address])
         await load.run()
         server.close()
-        told = judge(load.handed, [], [], 0.0, 6.0)
-        self.assertEqual(told.taken, len(load.handed))
-        self.assertGreater(max(told.to_answer), 0.3)  # 19 of 30 ms, one after the other
+        result = judge(load.handed, [], [], 0.0, 6.0)
+        self.assertEqual(result.taken, len(load.handed))
+        self.assertGreater(max(result.to_answer), 0.3)  # 19 answers of 30 ms, one after the other
 
-    async def test_a_silent_relay_holds_up_no_hand_in(self):
+    async def test_an_unresponsive_relay_delays_no_request(self):
         server, address = await stand_in(lambda *_: b"")
         plan = Plan([Topic("t", "once-only", 5.0)], [1], rate=50.0, seconds=0.5, patience=0.1)
-        load, began = Load(plan, [address]), time.monotonic()
+        load, started_at = Load(plan, [address]), time.monotonic()
         await asyncio.wait_for(load.run(), 5.0)
         server.close()
-        self.assertLess(time.monotonic() - began, 2.0)
+        self.assertLess(time.monotonic() - started_at, 2.0)
         self.assertEqual(figures(judge(load.handed, [], [], 0.0, 6.0))["unheard"], len(load.handed))
 
-    def test_the_histogram_keeps_three_digits(self):
-        made = histogram([i / 1000.0 for i in range(1, 1001)])
-        self.assertAlmostEqual(made.get_value_at_percentile(99.0) / 1e6, 0.99, delta=0.002)
+    def test_the_histogram_has_three_significant_digits(self):
+        recorded = histogram([i / 1000.0 for i in range(1, 1001)])
+        self.assertAlmostEqual(recorded.get_value_at_percentile(99.0) / 1e6, 0.99, delta=0.002)
 
 
 if __name__ == "__main__":
