--- a/ryestack/cli/__init__.py
+++ b/ryestack/cli/__init__.py
@@ -1,16 +1,16 @@
-"""The command line: a module a sub-command. The only place that imports typer and rich.
+"""The command line, with one module per sub-command. No other package imports typer and rich.
 
-Exit status: 0 done, 1 a check or trial found something, 2 it could not be used as asked.
+Exit status: 0 success, 1 a check or trial found problems, 2 invalid usage or input.
 """
 
 import sys
 
 UNUSABLE, STOPPED = 2, 130
-MISSING = "the command line needs more libraries: pip install 'ryestack[lab]'"
+MISSING = "the command line needs additional libraries: pip install 'ryestack[lab]'"
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; returns its exit status, and raises nothing."""
+    """Runs one command; returns its exit status and raises no SystemExit or KeyboardInterrupt."""
     try:
         try:
             from .app import app
@@ -28,5 +28,5 @@
 
 
 def script() -> None:
-    """The console script."""
+    """The entry point of the console script."""
     sys.exit(main())
--- a/ryestack/cli/app.py
+++ b/ryestack/cli/app.py
@@ -1,12 +1,12 @@
-"""The commands, put together."""
+"""The typer application with all commands."""
 
 import typer
 
 from . import check, config, journal, lab, load, pages, serve, soak, standin, trial, version
 
-HELP = """A relay that owes other firms' systems their messages and delivers them.
+HELP = """A relay that delivers notifications to the systems of other companies.
 
-Exit status: 0 done, 1 a check or trial found something, 2 it could not be used as asked.
+Exit status: 0 success, 1 a check or trial found problems, 2 invalid usage or input.
 """
 
 app = typer.Typer(
@@ -18,12 +18,18 @@
 )
 app.command("serve")(serve.serve)
 app.command("check")(check.check)
-app.add_typer(config.app, name="config", help="The operator file: what holds, what may be said, a first one.")
 app.add_typer(
-    journal.app, name="journal", help="What a relay's folder holds, live or dead; nothing is changed."
+    config.app,
+    name="config",
+    help="The operator file: values in force, JSON Schema, and a file to start from.",
+)
+app.add_typer(
+    journal.app, name="journal", help="Inspect the state directory of a running or stopped relay; read-only."
+)
+app.add_typer(standin.app, name="standin", help="Simulated partners and a platform on loopback.")
+app.add_typer(
+    lab.app, name="lab", help="The emulator: days in simulated time, sweeps, searches for faults, reports."
 )
-app.add_typer(standin.app, name="standin", help="Scripted partners and a platform on loopback.")
-app.add_typer(lab.app, name="lab", help="The emulator: days in simulated time, sweeps, hunts, reports.")
 app.command("load")(load.load)
 app.command("try")(trial.trial)
 app.command("soak")(soak.soak)
--- a/ryestack/cli/check.py
+++ b/ryestack/cli/check.py
@@ -1,4 +1,4 @@
-"""ryestack check: the platform's configuration and the operator file, without a socket."""
+"""ryestack check: validates the platform's configuration and the operator file without opening a socket."""
 
 import os
 import tempfile
@@ -17,20 +17,20 @@
     sets: choices.Set = None,
     as_json: Json = False,
 ) -> None:
-    """Check what a relay would be started with; opens no socket and changes nothing."""
-    environ, found, told = choices.environment(config, None), [], None
+    """Check the settings that a relay would start with; opens no socket and changes nothing."""
+    environ, found, loaded = choices.environment(config, None), [], None
     path = environ.get("LB_CONFIG")
     if not path:
-        raise unusable("--config or LB_CONFIG must name the configuration")
+        raise unusable("--config or LB_CONFIG must name the configuration file")
     if not os.path.exists(path):
-        raise unusable(f"{path}: there is no such file")
+        raise unusable(f"{path}: no such file")
     try:
         chosen = choose(operator, environ, choices.flags(sets)).values
     except BadOperator as bad:
         chosen, found = None, [str(fault) for fault in bad.faults]
-    with tempfile.TemporaryDirectory() as folder:  # which folder lasts is not asked
+    with tempfile.TemporaryDirectory() as folder:  # the real state directory is not used
         try:
-            told = load({"LB_CONFIG": path, "LB_STATE": folder}, chosen=chosen)
+            loaded = load({"LB_CONFIG": path, "LB_STATE": folder}, chosen=chosen)
         except MixedDeployment as bad:
             raise unusable(bad) from None
         except BadConfig as bad:
@@ -41,9 +41,9 @@
         for line in found:
             console().print(line, markup=False, soft_wrap=True)
     else:
-        rows = told.known["endpoints"]
+        rows = loaded.known["endpoints"]
         groups = {row.get("group") for row in rows}
         console().print(
-            f"good: {told.name}, {len(rows)} endpoints of {len(groups)} destinations known", markup=False
+            f"good: {loaded.name}, {len(rows)} endpoints of {len(groups)} destinations known", markup=False
         )
     raise typer.Exit(FOUND if found else 0)
--- a/ryestack/cli/choices.py
+++ b/ryestack/cli/choices.py
@@ -1,4 +1,4 @@
-"""The options by which commands choose a configuration, and the layers above it."""
+"""Options shared by commands that select a configuration and override its values."""
 
 import os
 from typing import Annotated
@@ -8,37 +8,37 @@
 from .output import unusable
 
 Config = Annotated[
-    str | None, typer.Option("--config", "-c", help="The platform's configuration; else LB_CONFIG names it.")
+    str | None, typer.Option("--config", "-c", help="The platform's configuration file; default: LB_CONFIG.")
 ]
-State = Annotated[str | None, typer.Option("--state", help="The folder that lasts; else LB_STATE names it.")]
+State = Annotated[str | None, typer.Option("--state", help="The state directory; default: LB_STATE.")]
 OperatorFile = Annotated[
-    str | None, typer.Option("--operator", "-o", help="The operator file; else RYESTACK_OPERATOR names it.")
+    str | None, typer.Option("--operator", "-o", help="The operator file; default: RYESTACK_OPERATOR.")
 ]
 Set = Annotated[
     list[str] | None,
-    typer.Option("--set", help="KEY=VALUE over the file and the environment; may come again."),
+    typer.Option("--set", help="KEY=VALUE; overrides the file and the environment; may be repeated."),
 ]
-LogFormat = Annotated[str | None, typer.Option("--log-format", help="text or json; log.format of the file.")]
+LogFormat = Annotated[str | None, typer.Option("--log-format", help="text or json; overrides log.format.")]
 
 
 def flags(sets: list[str] | None, log_format: str | None = None) -> dict[str, str]:
-    """Dotted key to text."""
-    found = {}
-    for each in sets or []:
-        key, equals, value = each.partition("=")
+    """The values of --set and --log-format, by dotted key. Raises typer.Exit for a malformed --set."""
+    values = {}
+    for text in sets or []:
+        key, equals, value = text.partition("=")
         if not equals or not key:
-            raise unusable(f"--set {each}: must be KEY=VALUE")
-        found[key.strip()] = value.strip()
+            raise unusable(f"--set {text}: must be KEY=VALUE")
+        values[key.strip()] = value.strip()
     if log_format is not None:
-        found["log.format"] = log_format
-    return found
+        values["log.format"] = log_format
+    return values
 
 
 def environment(config: str | None, state: str | None) -> dict[str, str]:
-    """The environment as `run` finds it, with what the flags say in its place."""
-    found = dict(os.environ)
+    """A copy of the process environment; the given options replace LB_CONFIG and LB_STATE."""
+    environ = dict(os.environ)
     if config is not None:
-        found["LB_CONFIG"] = config
+        environ["LB_CONFIG"] = config
     if state is not None:
-        found["LB_STATE"] = state
-    return found
+        environ["LB_STATE"] = state
+    return environ
--- a/ryestack/cli/config.py
+++ b/ryestack/cli/config.py
@@ -1,4 +1,4 @@
-"""ryestack config: show, schema, init."""
+"""ryestack config: prints the operator settings in force, their JSON Schema, or a first operator file."""
 
 import os
 from typing import Annotated
@@ -45,10 +45,10 @@
 
 @app.command()
 def init(
-    path: Annotated[str, typer.Argument(help="Where to write it; - prints it.")] = "-",
-    force: Annotated[bool, typer.Option("--force", help="Write over a file that is there.")] = False,
+    path: Annotated[str, typer.Argument(help="The file to write; - writes to standard output.")] = "-",
+    force: Annotated[bool, typer.Option("--force", help="Overwrite an existing file.")] = False,
 ) -> None:
-    """Write an operator file with every key at its default, each with its meaning."""
+    """Write an operator file with every key at its default and a comment on each."""
     if path == "-":
         typer.echo(pages.first_file(), nl=False)
         return
@@ -56,7 +56,7 @@
         with open(path, "w" if force else "x") as file:
             file.write(pages.first_file())
     except FileExistsError:
-        raise unusable(f"{path}: is there already; --force writes over it") from None
+        raise unusable(f"{path}: already exists; use --force to overwrite it") from None
     except OSError as problem:
         raise unusable(f"{path}: {problem.strerror}") from None
     say(f"{path} written")
--- a/ryestack/cli/journal.py
+++ b/ryestack/cli/journal.py
@@ -1,4 +1,4 @@
-"""ryestack journal: show and verify."""
+"""ryestack journal: prints or verifies the journal in a relay's state directory."""
 
 from typing import Annotated
 
@@ -9,61 +9,65 @@
 from .output import FOUND, Json, console, print_json, table, unusable
 
 app = typer.Typer(no_args_is_help=True)
-Folder = Annotated[str, typer.Argument(help="The folder that lasts, of a live or a dead relay.")]
+Folder = Annotated[str, typer.Argument(help="The state directory of a running or stopped relay.")]
 
 
-def _found(folder: str) -> list[JournalReport]:
+def _inspect(folder: str) -> list[JournalReport]:
     try:
         return inspect(folder)
     except NoJournal as bad:
         raise unusable(str(bad)) from None
 
 
-def _state(found: JournalReport) -> dict:
+def _state(report: JournalReport) -> dict:
     return {
-        "file": found.path,
-        "bytes": found.size,
-        "records": found.records,
-        "sound": found.is_sound(),
-        "senseless_at": found.invalid_offsets,
-        "damage": [{"at": d.at, "bytes": d.length, "tail": d.tail} for d in found.damage],
-        "owed": len(found.owed),
-        "notices": sum(o.notice is not None for o in found.owed.values()),
+        "file": report.path,
+        "bytes": report.size,
+        "records": report.records,
+        "sound": report.is_sound(),
+        "senseless_at": report.invalid_offsets,
+        "damage": [{"at": d.at, "bytes": d.length, "tail": d.tail} for d in report.damage],
+        "owed": len(report.owed),
+        "notices": sum(o.notice is not None for o in report.owed.values()),
         "may_have_run": sum(
-            o.open_pushes != {} or o.may_have_run_at < float("inf") for o in found.owed.values()
+            o.open_pushes != {} or o.may_have_run_at < float("inf") for o in report.owed.values()
         ),
-        "lost_behind_damage": sorted(found.owed_behind_damage),
-        "rewriting": found.rewrite_pending,
+        "lost_behind_damage": sorted(report.owed_behind_damage),
+        "rewriting": report.rewrite_pending,
     }
 
 
-def _lines(found: JournalReport) -> list[str]:
-    lines = [f"{found.path}: {found.size} bytes, {found.records} records, {len(found.owed)} owed"]
-    for d in found.damage:
-        what = "a torn tail, as a kill within a write leaves" if d.tail else "damage"
-        lines.append(f"{found.path}: {d.length} bytes from {d.at} on are no record: {what}")
-    lines += [f"{found.path}: the record at {at} makes no sense" for at in found.invalid_offsets]
-    if found.owed_behind_damage:
-        lines.append(f"{len(found.owed_behind_damage)} owed stand behind the damage; a start would lose them")
-    if found.rewrite_pending:
-        lines.append("a new file stands beside it: a rewrite is under way, or was cut short")
+def _lines(report: JournalReport) -> list[str]:
+    lines = [f"{report.path}: {report.size} bytes, {report.records} records, {len(report.owed)} owed"]
+    for d in report.damage:
+        cause = "a torn tail, as left by a kill during a write" if d.tail else "damage"
+        lines.append(f"{report.path}: {d.length} bytes at offset {d.at} are not a valid record: {cause}")
+    lines += [f"{report.path}: the record at offset {offset} is invalid" for offset in report.invalid_offsets]
+    if report.owed_behind_damage:
+        lines.append(
+            f"{len(report.owed_behind_damage)} owed notifications follow the damage; a start would lose them"
+        )
+    if report.rewrite_pending:
+        lines.append("a new file exists beside the journal: a rewrite is in progress or was interrupted")
     return lines
 
 
 @app.command()
 def show(folder: Folder, as_json: Json = False) -> None:
-    """What is owed, to whom, and what may have run; read-only. Keys and bodies are never shown."""
-    found, clock = _found(folder), read_clock()
-    rows = [{**summary_row(o, f.now(clock)), "behind_damage": False} for f in found for o in f.owed.values()]
+    """Show what is owed, to whom, and what may have run; read-only. Keys and bodies are never shown."""
+    reports, clock = _inspect(folder), read_clock()
+    rows = [
+        {**summary_row(o, f.now(clock)), "behind_damage": False} for f in reports for o in f.owed.values()
+    ]
     rows += [
         {**summary_row(o, f.now(clock)), "behind_damage": True}
-        for f in found
+        for f in reports
         for o in f.owed_behind_damage.values()
     ]
     if as_json:
-        print_json({**_state(found[0]), "beside": [_state(f) for f in found[1:]], "notifications": rows})
+        print_json({**_state(reports[0]), "beside": [_state(f) for f in reports[1:]], "notifications": rows})
         return
-    for line in [line for f in found for line in _lines(f)]:
+    for line in [line for f in reports for line in _lines(f)]:
         console().print(line, markup=False, soft_wrap=True)
     columns = [
         "id",
@@ -96,12 +100,12 @@
 
 @app.command()
 def verify(folder: Folder, as_json: Json = False) -> None:
-    """Whether the file is sound; status 1 where more is wrong than a kill within a write explains."""
-    found = _found(folder)
-    sound = all(f.is_sound() for f in found)
+    """Check the journal; exit status 1 for damage that a kill during a write does not explain."""
+    reports = _inspect(folder)
+    sound = all(f.is_sound() for f in reports)
     if as_json:
-        print_json({**_state(found[0]), "beside": [_state(f) for f in found[1:]]})
+        print_json({**_state(reports[0]), "beside": [_state(f) for f in reports[1:]]})
     else:
-        for line in [*(line for f in found for line in _lines(f)), "sound" if sound else "NOT sound"]:
+        for line in [*(line for f in reports for line in _lines(f)), "sound" if sound else "NOT sound"]:
             console().print(line, markup=False, soft_wrap=True)
     raise typer.Exit(0 if sound else FOUND)
--- a/ryestack/cli/load.py
+++ b/ryestack/cli/load.py
@@ -1,4 +1,4 @@
-"""ryestack load: an open loop against relays, judged from the stand-ins' books."""
+"""ryestack load: open-loop load on relays, judged from the books of the stand-ins."""
 
 import asyncio
 from typing import Annotated
@@ -24,27 +24,28 @@
 
 
 def topics(texts: list[str]) -> list[Topic]:
-    """Of NAME:EFFECT:TTL each."""
-    found = []
+    """Parses topic types of the form NAME:EFFECT:TTL. Raises typer.Exit for a malformed one."""
+    parsed = []
     for text in texts:
         name, _, rest = text.partition(":")
         effect, _, ttl = rest.partition(":")
         try:
-            found.append(Topic(name, effect, float(ttl)))
+            parsed.append(Topic(name, effect, float(ttl)))
         except ValueError:
             raise unusable(f"--topic {text}: must be NAME:EFFECT:SECONDS") from None
-        if effect not in EFFECTS or not found[-1].ttl > 0.0:
-            raise unusable(f"--topic {text}: EFFECT is one of {', '.join(EFFECTS)}, SECONDS above 0")
-    return found
+        if effect not in EFFECTS or not parsed[-1].ttl > 0.0:
+            raise unusable(f"--topic {text}: EFFECT must be one of {', '.join(EFFECTS)}, SECONDS above 0")
+    return parsed
 
 
 def show(result: dict, title: str) -> None:
-    rows = [[words, result[name]] for name, words in SHOWN]
+    """Prints a result of lab.load.figures as tables, with at most 20 of its violations."""
+    rows = [[label, result[name]] for name, label in SHOWN]
     table(title, ["what", "count"], rows)
     columns = [part for part in result["to_answer_ms"]]
     rows = [
-        [words, *(f"{result[name][p]:.1f}" if result[name][p] is not None else "-" for p in columns)]
-        for name, words in (("to_answer_ms", "to the answer"), ("to_effect_ms", "to the effect"))
+        [label, *(f"{result[name][p]:.1f}" if result[name][p] is not None else "-" for p in columns)]
+        for name, label in (("to_answer_ms", "to the answer"), ("to_effect_ms", "to the effect"))
     ]
     table("milliseconds from the intended time", ["", *columns], rows)
     for line in result["broken"][:20]:
@@ -52,11 +53,11 @@
     if len(result["broken"]) > 20:
         console().print(f"... and {len(result['broken']) - 20} more")
     if not result["whole"]:
-        console().print("the stand-ins' books are not whole: this run cannot be judged")
+        console().print("the stand-ins' books are incomplete: this run cannot be judged")
 
 
 def progress(total: int) -> tuple[Progress, callable]:
-    """A bar with the time left, on a terminal only, and what moves it."""
+    """A progress bar, shown on terminals only, and a function that sets the number of requests sent."""
     screen = console(err=True)
     count = TextColumn("handed in {task.completed}/{task.total}")
     columns = count, BarColumn(), TimeRemainingColumn()
@@ -71,35 +72,41 @@
 
     async def collect():
         runs, whole = [], True
-        for each in partners:
-            books = await books_of(each)
+        for control in partners:
+            books = await books_of(control)
             runs, whole = runs + books.runs, whole and books.whole
         books = await books_of(platform)
-        mine = {one.id for one in load.handed}
-        return [r for r in runs if r.id in mine], books.notices, whole and books.whole
+        sent = {request.id for request in load.handed}
+        return [r for r in runs if r.id in sent], books.notices, whole and books.whole
 
-    longest = max(t.ttl for t in plan.topics) + 1.0
+    longest = max(topic.ttl for topic in plan.topics) + 1.0
     return figures(await settled(load, collect, longest))
 
 
 def load(
-    relay: Annotated[list[str] | None, typer.Option(help="host:port; may come again.")] = None,
-    partner: Annotated[list[str] | None, typer.Option(help="Control of stand-in partners.")] = None,
-    platform: Annotated[str, typer.Option(help="Control of the stand-in platform.")] = "127.0.0.1:8501",
-    destination: Annotated[list[int] | None, typer.Option(help="May come again.")] = None,
-    topic: Annotated[list[str] | None, typer.Option(help="NAME:EFFECT:SECONDS; may come again.")] = None,
-    customer: Annotated[list[str] | None, typer.Option(help="May come again.")] = None,
-    rate: Annotated[float, typer.Option(min=0.01, max=100_000, help="Hand-ins a second.")] = 50.0,
-    seconds: Annotated[float, typer.Option(min=0.1, max=86_400, help="How long hand-ins come.")] = 10.0,
+    relay: Annotated[list[str] | None, typer.Option(help="host:port; may be repeated.")] = None,
+    partner: Annotated[
+        list[str] | None, typer.Option(help="Control address of stand-in partners; may be repeated.")
+    ] = None,
+    platform: Annotated[
+        str, typer.Option(help="Control address of the stand-in platform.")
+    ] = "127.0.0.1:8501",
+    destination: Annotated[list[int] | None, typer.Option(help="May be repeated.")] = None,
+    topic: Annotated[list[str] | None, typer.Option(help="NAME:EFFECT:SECONDS; may be repeated.")] = None,
+    customer: Annotated[list[str] | None, typer.Option(help="May be repeated.")] = None,
+    rate: Annotated[float, typer.Option(min=0.01, max=100_000, help="Requests a second.")] = 50.0,
+    seconds: Annotated[float, typer.Option(min=0.1, max=86_400, help="How long requests are sent.")] = 10.0,
     shape: Annotated[str, typer.Option(help=f"One of {', '.join(SHAPES)}.")] = "poisson",
-    connections: Annotated[int, typer.Option(min=1, max=20_000, help="Kept open at most.")] = 32,
-    patience: Annotated[float, typer.Option(min=0.01, max=60, help="Seconds a client waits.")] = 0.4,
-    size: Annotated[int, typer.Option(min=0, max=65_536, help="Bytes of a body.")] = 64,
-    window: Annotated[float, typer.Option(min=0, help="Seconds, of collapsible topics.")] = 6.0,
+    connections: Annotated[int, typer.Option(min=1, max=20_000, help="Maximum of open connections.")] = 32,
+    patience: Annotated[
+        float, typer.Option(min=0.01, max=60, help="Seconds a client waits for an answer.")
+    ] = 0.4,
+    size: Annotated[int, typer.Option(min=0, max=65_536, help="Bytes of a request body.")] = 64,
+    window: Annotated[float, typer.Option(min=0, help="Window of collapsible topics, in seconds.")] = 6.0,
     seed: Seed = 1,
     as_json: Json = False,
 ) -> None:
-    """Hand in at a rate, whatever comes back; loss and doubles are judged from the stand-ins' books."""
+    """Send requests at a rate, whatever the answers; judge loss and duplicates by the stand-ins' books."""
     if shape not in SHAPES:
         raise unusable(f"--shape {shape}: must be one of {', '.join(SHAPES)}")
     relays, partners = relay or ["127.0.0.1:3000"], partner or ["127.0.0.1:8080"]
@@ -121,7 +128,7 @@
         with bar:
             result = asyncio.run(_run(plan, relays, partners, platform, note))
     except (aiohttp.ClientError, OSError) as problem:
-        raise unusable(f"the stand-ins' books cannot be had: {problem}") from None
+        raise unusable(f"the stand-ins' books could not be fetched: {problem}") from None
     if as_json:
         print_json({"seed": seed, **result})
     else:
--- a/ryestack/cli/pages.py
+++ b/ryestack/cli/pages.py
@@ -1,4 +1,4 @@
-"""ryestack pages (for developers): the pages that are made from code."""
+"""ryestack pages (for developers): the documentation pages that are generated from code."""
 
 from pathlib import Path
 from typing import Annotated
@@ -12,7 +12,7 @@
 
 
 def stale(docs: Path) -> dict[Path, str]:
-    """Pages that are not as the code says, and how they should be."""
+    """Generated pages that differ from what the code produces, with their current text."""
     oncall, configuration = docs / "oncall.md", docs / "configuration.md"
     wanted = {oncall: with_current_table(oncall.read_text()), configuration: page()}
     wanted[docs / "CAPACITY.md"] = capacity_page.page((docs / "capacity.toml").read_text())
@@ -20,13 +20,13 @@
 
 
 def pages(
-    write: Annotated[bool, typer.Option("--write", help="Write them.")] = False, docs: str = "docs"
+    write: Annotated[bool, typer.Option("--write", help="Write the pages.")] = False, docs: str = "docs"
 ) -> None:
     """Check that docs/CAPACITY.md, docs/configuration.md and the events of docs/oncall.md are current, or
     write them."""
-    found = stale(Path(docs))
-    for path, text in found.items():
+    outdated = stale(Path(docs))
+    for path, text in outdated.items():
         if write:
             path.write_text(text)
-        say(f"{path}: {'written' if write else 'not current; make pages writes it'}")
-    raise typer.Exit(FOUND if found and not write else 0)
+        say(f"{path}: {'written' if write else 'not current; run make pages'}")
+    raise typer.Exit(FOUND if outdated and not write else 0)
--- a/ryestack/cli/serve.py
+++ b/ryestack/cli/serve.py
@@ -1,4 +1,4 @@
-"""ryestack serve: one relay, as `python -m ryestack` with no arguments, with flags."""
+"""ryestack serve: runs one relay, like `python -m ryestack` without arguments, but with options."""
 
 import typer
 
--- a/ryestack/cli/soak.py
+++ b/ryestack/cli/soak.py
@@ -1,4 +1,4 @@
-"""ryestack soak: real processes on loopback under overlapping troubles, judged by invariants."""
+"""ryestack soak: real processes on loopback under overlapping faults, judged by invariants."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from .interrupts import end_from_within
 from .output import FOUND, Json, Seed, print_json, say, unusable
 
-SHOWN = 12  # findings of a seed that are printed
+SHOWN = 12  # maximum of findings printed for a seed
 
 
 async def _play(plan: SoakPlan, folder: Path, line) -> tuple[Verdict, dict]:
@@ -32,21 +32,25 @@
 
 def soak(
     seed: Seed = 1,
-    seeds: Annotated[int, typer.Option(min=1, max=1000, help="So many, one after another.")] = 1,
-    seconds: Annotated[float, typer.Option(min=5, max=3600, help="Of hand-ins, for each seed.")] = 30.0,
-    relays: Annotated[int, typer.Option(min=1, max=64, help="Relays, each a process.")] = 8,
-    partners: Annotated[int, typer.Option(min=1, max=64, help="Partners, each two processes.")] = 8,
-    rate: Annotated[float, typer.Option(min=0.1, max=200, help="Requests a second at a relay.")] = 12.0,
-    keep: Annotated[str | None, typer.Option(help="A folder for all logs, books and journals.")] = None,
+    seeds: Annotated[int, typer.Option(min=1, max=1000, help="Number of seeds, run one after another.")] = 1,
+    seconds: Annotated[
+        float, typer.Option(min=5, max=3600, help="How long requests are sent, for each seed.")
+    ] = 30.0,
+    relays: Annotated[int, typer.Option(min=1, max=64, help="Relays, one process each.")] = 8,
+    partners: Annotated[int, typer.Option(min=1, max=64, help="Partners, two processes each.")] = 8,
+    rate: Annotated[float, typer.Option(min=0.1, max=200, help="Requests a second at each relay.")] = 12.0,
+    keep: Annotated[
+        str | None, typer.Option(help="A directory in which to keep all logs, books and journals.")
+    ] = None,
     as_json: Json = False,
 ) -> None:
-    """Many processes, two or three troubles at once: restarts, faults of system calls, partners, clients."""
+    """Run many processes, two or three faults at once: restarts, system call faults, partners, clients."""
     rows, bad = [], 0
-    with tempfile.TemporaryDirectory(prefix="ryestack-soak-") as made:
-        for each in range(seed, seed + seeds):
-            folder = Path(keep or made) / f"seed-{each}"
+    with tempfile.TemporaryDirectory(prefix="ryestack-soak-") as temporary:
+        for number in range(seed, seed + seeds):
+            folder = Path(keep or temporary) / f"seed-{number}"
             folder.mkdir(parents=True)
-            plan = SoakPlan(each, relays, partners, rate, seconds)
+            plan = SoakPlan(number, relays, partners, rate, seconds)
             try:
                 verdict, injected = asyncio.run(_play(plan, folder, say if not as_json else lambda _: None))
             except asyncio.CancelledError:
@@ -57,10 +61,10 @@
             (folder / "findings.json").write_text(json.dumps(rows[-1], indent=2))
             bad += bool(verdict.findings)
             for finding in verdict.findings[:SHOWN] if not as_json else ():
-                say(f"seed {each}: {finding.rule}: {finding.subject}: {finding.what}")
+                say(f"seed {number}: {finding.rule}: {finding.subject}: {finding.what}")
             counts = verdict.counts
-            told = f"{counts['handed']} handed in, {counts['taken']} taken, {len(verdict.findings)} findings"
-            say(f"seed {each}: {told}, injected {injected}")
+            summary = f"{counts['handed']} sent, {counts['taken']} taken, {len(verdict.findings)} findings"
+            say(f"seed {number}: {summary}, injected {injected}")
     if as_json:
         print_json({"seeds": rows})
     else:
--- a/ryestack/cli/standin.py
+++ b/ryestack/cli/standin.py
@@ -1,4 +1,4 @@
-"""ryestack standin: partner, platform, config."""
+"""ryestack standin: runs simulated partners or a platform, or prints a configuration that goes with them."""
 
 import asyncio
 import signal
@@ -22,64 +22,64 @@
         raise unusable(str(bad)) from None
 
 
-async def _until_stopped(make, tell) -> None:
-    """make: builds the part within the running loop, which its servers need."""
-    part, stopped, loop = make(), asyncio.Event(), asyncio.get_running_loop()
+async def _until_stopped(create, announce) -> None:
+    """Runs a server until SIGINT or SIGTERM. create() makes it within the running loop, which it needs."""
+    server, stopped, loop = create(), asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stopped.set)
     try:
-        await part.start()
-        tell(part)
+        await server.start()
+        announce(server)
         await stopped.wait()
     finally:
-        await part.close()
+        await server.close()
 
 
-def _run(make, tell) -> None:
+def _run(create, announce) -> None:
     try:
-        asyncio.run(_until_stopped(make, tell))
+        asyncio.run(_until_stopped(create, announce))
     except OSError as problem:
         raise unusable(str(problem)) from None
 
 
 @app.command()
 def partner(stage: File) -> None:
-    """All endpoints of a stage, until Ctrl-C. Its control takes POST /behave, GET /state and GET /books."""
-    told = _stage(stage)
+    """Run all endpoints of a stage until Ctrl-C. The control has POST /behave, GET /state and GET /books."""
+    parsed = _stage(stage)
 
-    def tell(part: Partner) -> None:
-        for name, place in part.places.items():
+    def announce(server: Partner) -> None:
+        for name, place in server.places.items():
             say(f"endpoint {name} at {place.address}, destination {place.endpoint.destination}")
-        say(f"control at {part.address}; stop with Ctrl-C")
+        say(f"control at {server.address}; stop with Ctrl-C")
 
-    _run(lambda: Partner(told), tell)
+    _run(lambda: Partner(parsed), announce)
 
 
 @app.command()
 def platform(stage: File) -> None:
-    """The list and the notices for a stage, until Ctrl-C; its endpoints need ports of their own."""
-    told = _stage(stage)
+    """Serve the endpoint list and accept notices for a stage until Ctrl-C; its endpoints need fixed ports."""
+    parsed = _stage(stage)
 
-    def tell(part: Platform) -> None:
-        say(f"platform at {part.address}, control at {part.control}; stop with Ctrl-C")
+    def announce(server: Platform) -> None:
+        say(f"platform at {server.address}, control at {server.control}; stop with Ctrl-C")
 
-    _run(lambda: Platform(told), tell)
+    _run(lambda: Platform(parsed), announce)
 
 
 @app.command()
 def config(
     stage: File,
-    listen: Annotated[str, typer.Option(help="Where the relay is to listen.")] = "127.0.0.1:3000",
+    listen: Annotated[str, typer.Option(help="The address on which the relay listens.")] = "127.0.0.1:3000",
 ) -> None:
-    """Print a configuration in the platform's form that goes with a stage."""
+    """Print a relay configuration in the platform's format for a stage."""
     from ..lab.trial import TOPICS, platform_config
 
-    told = _stage(stage)
-    known = Platform(told).listing()
-    kinds = sorted({e.kind for e in told.endpoint})
-    made = platform_config(listen, told.platform.address, known, TOPICS, told.seed)
-    many = {e.kind: e.many for e in told.endpoint}
-    specifics = made["settings"]["specifics"]
-    specifics |= {"kindBatch": [many[k] for k in kinds], "routesApart": [False] * len(kinds)}
-    made["settings"]["kinds"] = kinds
-    print_json(made)
+    parsed = _stage(stage)
+    known = Platform(parsed).listing()
+    kinds = sorted({e.kind for e in parsed.endpoint})
+    result = platform_config(listen, parsed.platform.address, known, TOPICS, parsed.seed)
+    batch_limits = {e.kind: e.many for e in parsed.endpoint}
+    specifics = result["settings"]["specifics"]
+    specifics |= {"kindBatch": [batch_limits[k] for k in kinds], "routesApart": [False] * len(kinds)}
+    result["settings"]["kinds"] = kinds
+    print_json(result)
--- a/ryestack/lab/trial.py
+++ b/ryestack/lab/trial.py
@@ -117,13 +117,9 @@
         (folder / "config.json").write_text(json.dumps(config))
 
     async def start(self) -> float:
-        """Starts the process; returns the seconds until it served. Raises TrialFailed if it does not serve."""
-        inherited = {key: value for key, value in os.environ.items() if not key.startswith("RYESTACK_")}
-        env = {
-            **inherited,
-            "LB_CONFIG": str(self.folder / "config.json"),
-            "LB_STATE": str(self.folder / "state"),
-        }
+        """Starts the process; returns the seconds until it served. Raises TrialFailed if it does not."""
+        base = {key: value for key, value in os.environ.items() if not key.startswith("RYESTACK_")}
+        env = {**base, "LB_CONFIG": str(self.folder / "config.json"), "LB_STATE": str(self.folder / "state")}
         env |= self.environment
         if self.ops:
             env["LB_OPS"] = self.ops
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,3 +1,5 @@
+"""Commands of the command line: results, exit statuses, and the processes that they start."""
+
 import contextlib
 import io
 import json
@@ -27,7 +29,7 @@
 
 
 def call(*arguments):
-    """Status, standard output and standard error of one command in this process."""
+    """Runs a command in this process; returns exit status, standard output and standard error."""
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         status = main(list(arguments))
@@ -50,8 +52,8 @@
         return path
 
 
-class Checking(Commands):
-    def test_good_and_bad_and_missing_by_status_and_without_a_socket(self):
+class CheckAndConfig(Commands):
+    def test_check_reports_by_exit_status_and_opens_no_socket(self):
         path = config(self.folder, "127.0.0.1:1")
         bad = self.file("o.toml", "format = 1\n[log]\nx = 1\ny = 2\n")
         with mock.patch.object(socket, "socket", side_effect=AssertionError("a socket")):
@@ -70,20 +72,20 @@
         self.assertEqual(call("config", "init", path)[0], 2)
         self.assertEqual(call("config", "init", path, "--force")[0], 0)
         status, out, _ = call("config", "show", "-o", path, "--set", "log.level=ERROR", "--json")
-        told = json.loads(out)
-        self.assertEqual((status, told["log.level"]), (0, {"value": "ERROR", "origin": "flag"}))
-        self.assertTrue(told["log.format"]["origin"].startswith(path + ":"))
+        result = json.loads(out)
+        self.assertEqual((status, result["log.level"]), (0, {"value": "ERROR", "origin": "flag"}))
+        self.assertTrue(result["log.format"]["origin"].startswith(path + ":"))
         self.assertIn("$defs", json.loads(call("config", "schema")[1]))
         status, _, err = call("config", "show", "--set", "log.levle=ERROR")
         self.assertEqual((status, err.count("\n")), (2, 1))
         self.assertEqual(call("config", "show", "--set", "nothing")[0], 2)
 
-    def test_usage_errors_end_with_two_and_version_tells(self):
+    def test_usage_errors_exit_with_two_and_version_prints(self):
         for bad in ("no-such", "load --rate x", "load --shape round", "load --topic a:b:1"):
             self.assertEqual(call(*bad.split())[0], 2, bad)
         self.assertIn("ryestack", json.loads(call("version", "--json")[1]))
 
-    def test_a_stage_with_faults_names_them_all(self):
+    def test_all_faults_of_a_stage_are_reported(self):
         path = self.file("s.toml", '[[endpoint]]\nname = "a"\n[[at]]\nafter = -1\nmod = "x"\n')
         status, _, err = call("standin", "partner", path)
         self.assertEqual((status, len(err.splitlines())), (2, 3))
@@ -94,55 +96,55 @@
         self.assertEqual(stale(ROOT / "docs"), {})
 
 
-class Journals(Commands):
+class JournalCommands(Commands):
     def ledger(self):
-        made = Ledger(Journal(self.folder, 1_000_000))
-        made.recover()
-        self.addCleanup(made.journal.close)
+        ledger = Ledger(Journal(self.folder, 1_000_000))
+        ledger.recover()
+        self.addCleanup(ledger.journal.close)
         for name in ("n", "m", "o"):
-            made.take(Owed(name, time.time() + 9.0, 7, "once", "c", "", "secret-key", b"secret-body"))
-        made.push("n", 0, time.time())
-        made.push("m", 0, time.time())
-        made.outcome("m", 0, True)
-        made.owe_notice("o", {"state": "failed"})
-        return made
-
-    def test_of_a_live_relay_what_is_owed_and_may_have_run(self):
-        made = self.ledger()
-        size = made.journal.size
+            ledger.take(Owed(name, time.time() + 9.0, 7, "once", "c", "", "secret-key", b"secret-body"))
+        ledger.push("n", 0, time.time())
+        ledger.push("m", 0, time.time())
+        ledger.outcome("m", 0, True)
+        ledger.owe_notice("o", {"state": "failed"})
+        return ledger
+
+    def test_show_lists_what_a_running_relay_owes_and_what_may_have_run(self):
+        ledger = self.ledger()
+        size = ledger.journal.size
         status, out, _ = call("journal", "show", self.folder, "--json")
-        told = json.loads(out)
+        result = json.loads(out)
         keys = "pushes", "out", "may_have_run", "notice"
-        rows = {r["id"]: tuple(r[key] for key in keys) for r in told["notifications"]}
+        rows = {r["id"]: tuple(r[key] for key in keys) for r in result["notifications"]}
         failed = {"state": "failed"}
         wanted = {"n": (1, [0], True, None), "m": (1, [], False, None), "o": (0, [], False, failed)}
-        self.assertEqual((status, rows, told["sound"]), (0, wanted, True))
+        self.assertEqual((status, rows, result["sound"]), (0, wanted, True))
         self.assertNotIn("secret", out + call("journal", "show", self.folder)[1])
         self.assertEqual(os.path.getsize(os.path.join(self.folder, "owed")), size)
 
-    def test_a_torn_tail_is_sound_and_damage_within_is_not(self):
+    def test_verify_accepts_a_torn_tail_and_reports_other_damage(self):
         self.ledger().journal.close()
         path = Path(self.folder) / "owed"
         data = path.read_bytes()
         path.write_bytes(data[:-3])
         status, out, _ = call("journal", "verify", self.folder)
         self.assertEqual((status, "torn tail" in out), (0, True))
-        at = data.index(b'["taken","m"')
-        path.write_bytes(data[: at + 2] + b"X" + data[at + 3 :])
+        offset = data.index(b'["taken","m"')
+        path.write_bytes(data[: offset + 2] + b"X" + data[offset + 3 :])
         status, out, _ = call("journal", "verify", self.folder, "--json")
-        told = json.loads(out)
-        self.assertEqual((status, told["lost_behind_damage"], told["owed"]), (1, ["o"], 1))
-        self.assertEqual(told["damage"][0]["at"], at - 8)
+        result = json.loads(out)
+        self.assertEqual((status, result["lost_behind_damage"], result["owed"]), (1, ["o"], 1))
+        self.assertEqual(result["damage"][0]["at"], offset - 8)
         path.write_bytes(os.urandom(4096))
         self.assertEqual(call("journal", "show", self.folder)[0], 0)
         self.assertEqual(call("journal", "show", self.folder + "/none")[0], 2)
 
 
 class Processes(Commands):
-    def run_it(self, code, **more):
+    def run_code(self, code, **more):
         return subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, **more)
 
-    def test_what_run_starts_loads_nothing_heavy(self):
+    def test_the_relay_imports_no_command_line_or_lab_library(self):
         path = config(self.folder, "127.0.0.1:1")
         code = (
             "import sys, ryestack.__main__, ryestack.lifecycle.service as m\n"
@@ -150,9 +152,9 @@
             f"m.load({{'LB_CONFIG': {path!r}, 'LB_STATE': {self.folder!r}}})\n"
             f"print([n for n in {HEAVY!r} if n in sys.modules])"
         )
-        self.assertEqual(self.run_it(code).stdout.strip(), "[]")
+        self.assertEqual(self.run_code(code).stdout.strip(), "[]")
 
-    def test_a_bad_operator_file_is_a_line_a_fault_and_status_two(self):
+    def test_an_invalid_operator_file_gives_a_line_for_each_fault_and_status_two(self):
         bad = self.file("o.toml", "format = 1\n[log]\nx = 1\ny = 2\n")
         env = {**os.environ, "LB_CONFIG": config(self.folder, "127.0.0.1:1"), "LB_STATE": self.folder}
         env["RYESTACK_OPERATOR"] = bad
@@ -161,38 +163,38 @@
         self.assertEqual((done.returncode, len(done.stderr.splitlines())), (2, 2))
         self.assertTrue(done.stderr.startswith(f"ryestack: {bad}:3: log.x: "))
 
-    def test_ctrl_c_leaves_no_child_and_no_traceback(self):
+    def test_ctrl_c_leaves_no_child_process_and_no_traceback(self):
         command = [sys.executable, "-m", "ryestack", "try", "--keep", self.folder]
-        for patience in (0.1, 0.6, 2.5):  # while it loads, while it starts, while it hands in
+        for delay in (0.1, 0.6, 2.5):  # during the imports, the start of the relay, and the load
             pipes = {"stdout": subprocess.PIPE, "stderr": subprocess.PIPE}
-            # A shell starts background jobs with the signal ignored, and so would be what we start.
-            heard = partial(signal.signal, signal.SIGINT, signal.SIG_DFL)
-            with subprocess.Popen(command, cwd=ROOT, preexec_fn=heard, **pipes) as process:
-                time.sleep(patience)
+            # A shell starts background jobs with SIGINT ignored, and child processes inherit this.
+            restore_sigint = partial(signal.signal, signal.SIGINT, signal.SIG_DFL)
+            with subprocess.Popen(command, cwd=ROOT, preexec_fn=restore_sigint, **pipes) as process:
+                time.sleep(delay)
                 process.send_signal(signal.SIGINT)
                 _, err = process.communicate(timeout=20)
-            if not err.startswith(b"Could not import runpy"):  # the interpreter's own, before any of ours
-                self.assertNotIn(b"Traceback", err, patience)
+            if not err.startswith(b"Could not import runpy"):  # from the interpreter itself
+                self.assertNotIn(b"Traceback", err, delay)
             self.assertIn(process.returncode, (130, -signal.SIGINT))
-            self.assertEqual(self.relays(), [], patience)
+            self.assertEqual(self.relay_processes(), [], delay)
 
-    def relays(self):
-        """Processes that were started with a configuration in our folder."""
-        mark, found = f"LB_CONFIG={self.folder}".encode(), []
+    def relay_processes(self):
+        """Ids of processes that were started with a configuration in this test's folder."""
+        marker, found = f"LB_CONFIG={self.folder}".encode(), []
         for entry in Path("/proc").glob("[0-9]*/environ"):
             with contextlib.suppress(OSError):
-                if mark in entry.read_bytes():
+                if marker in entry.read_bytes():
                     found.append(entry.parent.name)
         return found
 
 
 class Trial(Commands):
-    def test_the_main_job_with_faults_and_a_kill_loses_and_doubles_nothing(self):
+    def test_a_trial_with_faults_and_a_kill_neither_loses_nor_duplicates(self):
         status, out, err = call("try", "--json", "--seed", "3", "--keep", self.folder)
-        told = json.loads(out)
-        self.assertEqual((status, told["lost"], told["twice"], told["broken"]), (0, 0, 0, []), err)
-        self.assertEqual(told["taken"], told["delivered"] + told["throttled"] + told["expired"])
-        self.assertGreater(told["delivered"], 200)
+        result = json.loads(out)
+        self.assertEqual((status, result["lost"], result["twice"], result["broken"]), (0, 0, 0, []), err)
+        self.assertEqual(result["taken"], result["delivered"] + result["throttled"] + result["expired"])
+        self.assertGreater(result["delivered"], 200)
 
 
 if __name__ == "__main__":
