--- a/ryestack/lab/soak/proxy.py
+++ b/ryestack/lab/soak/proxy.py
@@ -1,7 +1,7 @@
-"""Proxies as one process, a Link for each target: `python -m ryestack.lab.soak.proxy SEED HOST:PORT ...`.
+"""Proxy process with one Link per target: `python -m ryestack.lab.soak.proxy SEED HOST:PORT ...`.
 
-It prints the addresses of its links in one line, then reads modes from standard input, a line each, and turns
-all of them at once.
+Prints the addresses of its links in one line, then reads link modes from standard input, one a line, and sets
+each on all links at once.
 """
 
 import asyncio
@@ -11,10 +11,11 @@
 
 
 async def serve(seed: int, targets: list[str]) -> None:
+    """Runs the links until the end of standard input."""
     links = []
     for number, target in enumerate(targets):
         host, _, port = target.rpartition(":")
-        link = Link((host, int(port)), seed + number, forgets=True)
+        link = Link((host, int(port)), seed + number, drop_on_close=True)
         await link.start()
         links.append(link)
     print(" ".join(link.address for link in links), flush=True)
--- a/ryestack/standins/__init__.py
+++ b/ryestack/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Scripted peers on loopback: partners and the platform, with books of their own for an independent judge.
+"""Scripted test doubles of the partners and the platform, on loopback.
 
-They read the published protocol on their own and import nothing of the relay's protocol code.
+They keep their own records, from which an independent checker judges the relay. They implement the published
+protocol separately and import none of the relay's protocol code.
 """
--- a/ryestack/standins/books.py
+++ b/ryestack/standins/books.py
@@ -1,13 +1,13 @@
-"""What stand-ins write down: each effect, each notice, each connection. An independent judge reads these."""
+"""Records that the stand-ins keep of effects, calls, notices and connections, for an independent checker."""
 
 import msgspec
 
-MOST = 2_000_000  # rows of a kind; past it books are not whole and say so
+MAX_ROWS = 2_000_000  # rows per list; further rows are dropped and Books.whole becomes False
 
 
 class Run(msgspec.Struct, array_like=True):
-    """One effect at a partner. came: when its call had come whole; at: of the effect; answered: when the 200
-    was written, 0 if none was. Seconds of the wall clock; size: bytes of the body."""
+    """One effect at a partner. came: when the call had arrived completely; at: when it took effect;
+    answered: when the 200 was written, 0 if it was not; size: bytes of the body. Wall-clock times."""
 
     id: str
     key: str
@@ -19,8 +19,8 @@
 
 
 class Arrival(msgspec.Struct, array_like=True):
-    """One call that came whole, whatever it met. id: of its first notification; how: as a desk's reception;
-    wait: seconds told with the answer, 0 if none. Seconds of the wall clock."""
+    """One call that arrived completely, whatever its outcome. id: of its first notification; how: its
+    CallOutcome.kind; wait: retry-after seconds sent with the answer, 0 for none. Wall-clock times."""
 
     id: str
     endpoint: str
@@ -30,7 +30,7 @@
 
 
 class Notice(msgspec.Struct, array_like=True):
-    """One final answer at the platform. after: seconds to stay away, 0 if none was told."""
+    """One final answer received by the platform. after: retry-after seconds, 0 for none."""
 
     id: str
     state: str
@@ -38,8 +38,8 @@
     after: float = 0.0
 
 
-class Line(msgspec.Struct, array_like=True):
-    """One connection: opened, closed (0: open still) in seconds of the wall clock, and the calls on it."""
+class ConnectionRecord(msgspec.Struct, array_like=True):
+    """One connection: wall-clock times of opening and closing (0: still open), and its number of calls."""
 
     endpoint: str
     opened: float
@@ -48,31 +48,34 @@
 
 
 class Books(msgspec.Struct):
-    """counts: calls by what they met. whole: False once rows were left out."""
+    """All records of a stand-in. calls: counts by endpoint and outcome; whole: False if rows were dropped."""
 
     runs: list[Run] = []
     notices: list[Notice] = []
-    lines: list[Line] = []
+    lines: list[ConnectionRecord] = []
     arrivals: list[Arrival] = []
     calls: dict[str, int] = {}
     whole: bool = True
 
     def add(self, rows: list, row):
-        if len(rows) < MOST:
+        """Appends the row unless the list is full; returns the row."""
+        if len(rows) < MAX_ROWS:
             rows.append(row)
         else:
             self.whole = False
         return row
 
     def count(self, endpoint: str, how: str) -> None:
+        """Counts a call by its outcome."""
         name = f"{endpoint} {how}"
         self.calls[name] = self.calls.get(name, 0) + 1
 
 
 def dump(books: Books) -> bytes:
+    """Encodes books as JSON."""
     return msgspec.json.encode(books)
 
 
 def load(data: bytes) -> Books:
-    """Raises msgspec.MsgspecError where these are no books."""
+    """Decodes books; raises msgspec.MsgspecError on malformed data."""
     return msgspec.json.decode(data, type=Books)
--- a/ryestack/standins/control.py
+++ b/ryestack/standins/control.py
@@ -1,4 +1,4 @@
-"""The control address that stand-ins share: what they are told live, and their books."""
+"""HTTP control interface of the stand-ins: changes behaviour at run time, returns state and records."""
 
 import socket
 
@@ -11,14 +11,16 @@
 
 
 async def serve(handler, address: str, loop) -> tuple:
-    """A server on loopback and the address that it has."""
+    """Starts a server on a loopback address; returns it with the address it listens on."""
     server = await loop.create_server(handler, sock=socket.create_server(split(address), backlog=512))
-    host, port = server.sockets[0].getsockname()[:2]
-    return server, f"{host}:{port}"
+    bound_host, port = server.sockets[0].getsockname()[:2]
+    return server, f"{bound_host}:{port}"
 
 
-def control(books: Books, state, tell, names):
-    """A handler: GET /books, GET /state, POST /behave with the keys of a change but `after`."""
+def control_handler(books: Books, state, apply, endpoint_names):
+    """Returns a server for GET /books, GET /state and POST /behave with the
+    keys of a Change; `after` is optional.
+    """
 
     async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.method == "GET" and request.path == "/books":
@@ -27,16 +29,18 @@
             return web.Response(body=msgspec.json.encode(state()), content_type="application/json")
         if request.method == "POST" and request.path == "/behave":
             try:
-                table = msgspec.json.decode(await request.read(), type=dict)
-            except msgspec.MsgspecError as bad:
-                return web.Response(status=400, text=f"{bad}\n")
-            table = {"after": 0.0, **table}
-            faults = check(Change, table, list(Change.__struct_fields__))
-            if not faults and table.get("endpoint", "*") not in ("*", *names()):
-                faults = [("endpoint", f"there is no {table['endpoint']}")]
+                fields = msgspec.json.decode(await request.read(), type=dict)
+            except msgspec.MsgspecError as error:
+                return web.Response(status=400, text=f"{error}\n")
+            fields = {"after": 0.0, **fields}
+            faults = check(Change, fields, list(Change.__struct_fields__))
+            if not faults and fields.get("endpoint", "*") not in ("*", *endpoint_names()):
+                faults = [("endpoint", f"no endpoint named {fields['endpoint']}")]
             if faults:
-                return web.Response(status=400, text="".join(f"{k}: {why}\n" for k, why in faults))
-            await tell(msgspec.convert(table, Change))
+                return web.Response(
+                    status=400, text="".join(f"{key}: {message}\n" for key, message in faults)
+                )
+            await apply(msgspec.convert(fields, Change))
             return web.Response(text="done\n")
         return web.Response(status=404, text="GET /books, GET /state or POST /behave\n")
 
--- a/ryestack/standins/links.py
+++ b/ryestack/standins/links.py
@@ -1,7 +1,7 @@
-"""Links between relays that misbehave on a script: a proxy on loopback for each way from one to another.
+"""Faulty network links: a scripted loopback proxy for each directed pair of relays.
 
-It forwards bytes and knows nothing of what they say. A link that is cut holds what is sent, as a network
-does whose sender tries again: after it has healed the bytes arrive, late.
+A link forwards bytes without parsing them. A partitioned link holds the bytes, like a network whose sender
+retransmits: after the partition heals they arrive, late.
 """
 
 import asyncio
@@ -10,23 +10,23 @@
 
 MODES = ("ok", "refuse", "hole", "out", "back", "reset", "late", "slow")
 CHUNK = 16 * 1024
-LOOK = 0.02  # seconds between looks at whether a held link has healed
+POLL_INTERVAL_S = 0.02  # between checks whether a held link has healed
 
 
 class Link:
-    """One way: whoever connects here is connected to target (host, port).
+    """A proxy on loopback that connects each client to target (host, port).
 
-    mode: `refuse` ends each connection at once; `hole` holds both directions, `out` what goes to the
-    target, `back` what comes from it; `reset` ends a connection within what it carries; `late` delays by
-    delay, half to one and a half of it; `slow` lets rate bytes a second through.
+    mode: `refuse` closes each connection at once; `hole` holds both directions, `out` holds bytes to the
+    target, `back` holds bytes from it; `reset` resets a connection in the middle of its data; `late` delays
+    each chunk by 0.5 to 1.5 times delay (seconds); `slow` limits throughput to rate bytes a second.
     """
 
-    def __init__(self, target: tuple[str, int], seed: int, forgets: bool = False):
-        """forgets: what it holds is lost once its sender has closed, like what a system has not confirmed."""
-        self.target, self.random, self.forgets = target, random.Random(seed), forgets
+    def __init__(self, target: tuple[str, int], seed: int, drop_on_close: bool = False):
+        """drop_on_close: drop held bytes once the sender has closed, like data that was not acknowledged."""
+        self.target, self.rng, self.drop_on_close = target, random.Random(seed), drop_on_close
         self.mode, self.delay, self.rate = "ok", 0.5, 20_000.0
         self.server, self.address, self.writers, self.tasks = None, "", set(), set()
-        self.carried, self.reads = 0, 0  # bytes let through, and in how many pieces
+        self.carried, self.reads = 0, 0  # bytes forwarded, and the number of reads they came in
 
     async def start(self) -> str:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -35,8 +35,9 @@
         return self.address
 
     def turn(self, mode: str, delay: float = 0.5) -> None:
+        """Sets the mode; raises ValueError for an unknown one. delay: in seconds, for mode `late`."""
         if mode not in MODES:
-            raise ValueError(f"no mode {mode}: {', '.join(MODES)}")
+            raise ValueError(f"unknown link mode {mode}; must be one of {', '.join(MODES)}")
         self.mode, self.delay = mode, delay
         if mode in ("refuse", "reset"):
             for writer in list(self.writers):
@@ -47,28 +48,30 @@
         try:
             if self.mode == "refuse":
                 return
-            far_reader, far = await asyncio.open_connection(*self.target)
-            self.writers |= {writer, far}
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self.writers |= {writer, target_writer}
             try:
-                await asyncio.gather(self.pump(reader, far, "out"), self.pump(far_reader, writer, "back"))
+                await asyncio.gather(
+                    self.pump(reader, target_writer, "out"), self.pump(target_reader, writer, "back")
+                )
             finally:
-                self.writers -= {writer, far}
-                far.transport.abort()
+                self.writers -= {writer, target_writer}
+                target_writer.transport.abort()
         except OSError:
             pass
         finally:
             writer.transport.abort()
             self.tasks.discard(asyncio.current_task())
 
-    async def pump(self, reader, writer, way: str) -> None:
+    async def pump(self, reader, writer, direction: str) -> None:
         with suppress(OSError, ConnectionError):
             while data := await reader.read(CHUNK):
                 if self.mode == "late":
-                    await asyncio.sleep(self.delay * self.random.uniform(0.5, 1.5))
-                held = self.mode in ("hole", "late", way)
-                while self.mode in ("hole", way):
-                    await asyncio.sleep(LOOK)
-                if held and self.forgets and (reader.exception() or reader.at_eof()):
+                    await asyncio.sleep(self.delay * self.rng.uniform(0.5, 1.5))
+                held = self.mode in ("hole", "late", direction)
+                while self.mode in ("hole", direction):
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                if held and self.drop_on_close and (reader.exception() or reader.at_eof()):
                     break
                 if self.mode == "reset":
                     writer.write(data[: len(data) // 2])
@@ -89,22 +92,26 @@
 
 
 class Net:
-    """All links of a cluster: names to their own addresses."""
+    """All links of a cluster, one for each ordered pair. addresses: by relay name, where each one listens."""
 
     def __init__(self, addresses: dict[str, str], seed: int):
         self.links: dict[tuple[str, str], Link] = {}
-        for i, (one, other) in enumerate((a, b) for a in addresses for b in addresses if a != b):
-            host, _, port = addresses[other].rpartition(":")
-            self.links[one, other] = Link((host, int(port)), seed * 1000 + i)
+        for i, (source, target) in enumerate((a, b) for a in addresses for b in addresses if a != b):
+            host, _, port = addresses[target].rpartition(":")
+            self.links[source, target] = Link((host, int(port)), seed * 1000 + i)
 
     async def start(self) -> None:
         for link in self.links.values():
             await link.start()
 
-    def turn(self, mode: str, ones=None, others=None, delay: float = 0.5) -> None:
-        """The links from each of ones to each of others, both ways; all where none are named."""
-        for (one, other), link in self.links.items():
-            if ones is None or (one in ones and other in others) or (other in ones and one in others):
+    def turn(self, mode: str, group=None, other_group=None, delay: float = 0.5) -> None:
+        """Sets the mode of the links between two groups, in both directions; of all if group is None."""
+        for (source, target), link in self.links.items():
+            if (
+                group is None
+                or (source in group and target in other_group)
+                or (target in group and source in other_group)
+            ):
                 link.turn(mode, delay)
 
     async def close(self) -> None:
--- a/ryestack/standins/partner.py
+++ b/ryestack/standins/partner.py
@@ -1,18 +1,18 @@
-"""Partners: any number of endpoints in one process, each on an address of its own.
+"""Partner stand-in: any number of endpoints in one process, each on an address of its own.
 
-An endpoint reads the platform's protocol with aiohttp's server; what it decides is in behaviour.py.
+Endpoints serve the platform's protocol with aiohttp; the decision on each call is in behaviour.py.
 """
 
 import asyncio
 import time
 
 from .books import Books
-from .control import control, serve
+from .control import control_handler, serve
 from .endpoint_server import EndpointServer
 from .stage import Change, Stage
 from .timeline import Timeline
 
-LOOK = 0.02  # seconds between looks at the timeline and at what time alone brings
+POLL_INTERVAL_S = 0.02  # between checks of the timeline and of timed transitions
 
 
 class Partner:
@@ -25,11 +25,13 @@
         self.address, self.server, self.task = stage.control, None, None
 
     async def start(self) -> None:
-        for place in self.places.values():
-            await place.follow()
-            if place.server is None:
-                raise OSError(f"{place.endpoint.name}: {place.address} cannot be listened on")
-        handler = control(self.books, self.state, self.tell, lambda: self.places)
+        for endpoint_server in self.places.values():
+            await endpoint_server.update_listener()
+            if endpoint_server.server is None:
+                raise OSError(
+                    f"endpoint {endpoint_server.endpoint.name}: cannot listen on {endpoint_server.address}"
+                )
+        handler = control_handler(self.books, self.state, self.apply, lambda: self.places)
         loop = asyncio.get_running_loop()
         self.server, self.address = await serve(handler, self.address, loop)
         self.began = time.monotonic()
@@ -38,34 +40,34 @@
     async def run(self) -> None:
         while True:
             for change in self.timeline.due(time.monotonic() - self.began):
-                await self.tell(change)
-            for place in self.places.values():
-                await place.follow()
-            await asyncio.sleep(LOOK)
+                await self.apply(change)
+            for endpoint_server in self.places.values():
+                await endpoint_server.update_listener()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def tell(self, change: Change) -> None:
-        for name, place in self.places.items():
+    async def apply(self, change: Change) -> None:
+        for name, endpoint_server in self.places.items():
             if change.endpoint in ("*", name):
-                place.desk.tell(change, time.time())
-                await place.follow()
+                endpoint_server.behaviour.apply(change, time.time())
+                await endpoint_server.update_listener()
 
     def state(self) -> dict:
         return {
             name: {
-                "address": place.address,
-                "mode": place.desk.mode,
-                "state": place.desk.state,
-                "running": place.desk.running,
-                "waiting": place.desk.waiting,
-                "connections": len(place.open),
+                "address": endpoint_server.address,
+                "mode": endpoint_server.behaviour.mode,
+                "state": endpoint_server.behaviour.state,
+                "running": endpoint_server.behaviour.running,
+                "waiting": endpoint_server.behaviour.waiting,
+                "connections": len(endpoint_server.connections),
             }
-            for name, place in self.places.items()
+            for name, endpoint_server in self.places.items()
         }
 
     async def close(self) -> None:
         if self.task:
             self.task.cancel()
-        for place in self.places.values():
-            place.close()
+        for endpoint_server in self.places.values():
+            endpoint_server.close()
         if self.server:
             self.server.close()
--- a/ryestack/standins/parts.py
+++ b/ryestack/standins/parts.py
@@ -1,4 +1,4 @@
-"""What a call brings: the notifications in its body, read from the platform's specification."""
+"""Parses the notifications in the body of a call, according to the platform's specification."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 PATHS = ("/receive", "/receive-many")
 
 
-class Part(NamedTuple):
+class ReceivedNotification(NamedTuple):
     """One notification of a call; size: bytes of its body."""
 
     id: str
@@ -15,22 +15,30 @@
     size: int
 
 
-def read_parts(request: web.BaseRequest, body: bytes) -> list[Part] | None:
-    """None where the call cannot be read, or names one twice."""
+def parse_notifications(request: web.BaseRequest, body: bytes) -> list[ReceivedNotification] | None:
+    """Parses a call; returns None if it is malformed or contains an id twice."""
     if request.path == "/receive":
         name = request.headers.get("X-Request-Id", "")
-        return [Part(name, request.headers.get("Idempotency-Key", ""), len(body))] if name else None
-    parts, at = [], 0
-    while at < len(body):
-        head, found, _ = body[at:].partition(b"\r\n")
-        words = head.split(b" ")
-        if not found or len(words) != 3 or not words[2].isdigit():
+        return (
+            [ReceivedNotification(name, request.headers.get("Idempotency-Key", ""), len(body))]
+            if name
+            else None
+        )
+    notifications, position = [], 0
+    while position < len(body):
+        head, found, _ = body[position:].partition(b"\r\n")
+        fields = head.split(b" ")
+        if not found or len(fields) != 3 or not fields[2].isdigit():
             return None
-        begin = at + len(head) + 2
-        end = begin + int(words[2])
+        begin = position + len(head) + 2
+        end = begin + int(fields[2])
         if body[end : end + 2] != b"\r\n":
             return None
-        name, key = words[0].decode("ascii", "replace"), words[1].decode("ascii", "replace")
-        parts.append(Part(name, "" if key == "-" else key, int(words[2])))
-        at = end + 2
-    return parts if parts and len({part.id for part in parts}) == len(parts) else None
+        name, key = fields[0].decode("ascii", "replace"), fields[1].decode("ascii", "replace")
+        notifications.append(ReceivedNotification(name, "" if key == "-" else key, int(fields[2])))
+        position = end + 2
+    return (
+        notifications
+        if notifications and len({each.id for each in notifications}) == len(notifications)
+        else None
+    )
--- a/ryestack/standins/stage.py
+++ b/ryestack/standins/stage.py
@@ -1,4 +1,4 @@
-"""The stage file: which endpoints there are, how they behave, what changes when. TOML, checked strictly."""
+"""The stage file (TOML, validated strictly): the endpoints, their behaviour, and the timeline of changes."""
 
 import tomllib
 from typing import Annotated, Literal
@@ -16,7 +16,7 @@
 
 
 class Pace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How long a call runs."""
+    """Distribution of the run time of calls."""
 
     shape: Annotated[
         Literal["fixed", "exponential", "lognormal"], Meta(description="the distribution of running times")
@@ -35,24 +35,30 @@
     )
     kind: Annotated[str, Meta(description="a kind of the platform's settings")] = "shop"
     zone: Annotated[str, Meta(description="passed on in the list")] = "here"
-    weight: Annotated[float, Meta(gt=0, le=1e9, description="calls a second told in the list")] = 50.0
+    weight: Annotated[float, Meta(gt=0, le=1e9, description="calls a second, as given in the list")] = 50.0
     pace: Pace = Pace()
     slots: Annotated[int, Meta(ge=1, le=100_000, description="calls that run at once")] = 16
     queue: Annotated[int, Meta(ge=0, le=100_000, description="calls that wait for a slot")] = 32
-    limit: Annotated[float, Meta(ge=0, le=1e9, description="calls in a span; 0: no limit")] = 0.0
+    limit: Annotated[float, Meta(ge=0, le=1e9, description="calls per span; 0: no limit")] = 0.0
     span: Annotated[float, Meta(gt=0, le=3600, description="seconds")] = 1.0
-    tell_wait: Annotated[bool, Meta(description="over the limit: 429 with a wait, else 503")] = True
-    refused_count: Annotated[bool, Meta(description="calls over the limit use it up too")] = False
-    many: Annotated[int, Meta(ge=1, le=10_000, description="notifications in a call")] = 1
+    tell_wait: Annotated[bool, Meta(description="over the limit: 429 with a wait if true, else 503")] = True
+    refused_count: Annotated[bool, Meta(description="whether refused calls count against the limit")] = False
+    many: Annotated[int, Meta(ge=1, le=10_000, description="maximum notifications in a call")] = 1
     report: Annotated[bool, Meta(description="answers carry a load report")] = False
     runs_in_error: Annotated[
-        float, Meta(ge=0, le=1, description="the part of calls answered 500 whose effect came about")
+        float, Meta(ge=0, le=1, description="fraction of calls answered 500 that take effect")
     ] = 0.0
     cold_time: Annotated[float, Meta(ge=0, le=3600, description="seconds of warm-up after `cold`")] = 5.0
-    cold_share: Annotated[float, Meta(gt=0, le=1, description="of `weight` that it takes just after")] = 0.3
-    fall_factor: Annotated[float, Meta(ge=1, le=100, description="over so much of it, it falls again")] = 1.5
-    fall_time: Annotated[float, Meta(gt=0, le=60, description="seconds over which that is counted")] = 1.0
-    fall_for: Annotated[float, Meta(ge=0, le=3600, description="seconds that a fall lasts")] = 2.0
+    cold_share: Annotated[
+        float, Meta(gt=0, le=1, description="fraction of `weight` accepted at the start of the warm-up")
+    ] = 0.3
+    fall_factor: Annotated[
+        float, Meta(ge=1, le=100, description="cold, it goes down at calls over this many times its share")
+    ] = 1.5
+    fall_time: Annotated[
+        float, Meta(gt=0, le=60, description="seconds over which these calls are counted")
+    ] = 1.0
+    fall_for: Annotated[float, Meta(ge=0, le=3600, description="seconds that it then stays down")] = 2.0
 
 
 class Change(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -60,24 +66,26 @@
 
     after: Annotated[float, Meta(ge=0, le=86400, description="seconds from the start")]
     endpoint: Annotated[str, Meta(description="its name, or `*` for all")] = "*"
-    mode: Annotated[Mode | None, Meta(description="how it behaves from then on")] = None
-    factor: Annotated[float, Meta(ge=0, le=10_000, description="times the pace, in mode `slow`")] = 10.0
-    wait: Annotated[float, Meta(ge=0, le=3600, description="seconds told in mode `full`; 0: none, 503")] = 0.0
-    part: Annotated[float, Meta(ge=0, le=1, description="the part of calls that meet the mode")] = 1.0
+    mode: Annotated[Mode | None, Meta(description="behaviour from then on")] = None
+    factor: Annotated[float, Meta(ge=0, le=10_000, description="multiplies run times in mode `slow`")] = 10.0
+    wait: Annotated[
+        float, Meta(ge=0, le=3600, description="retry-after seconds in mode `full`; 0: 503 without one")
+    ] = 0.0
+    part: Annotated[float, Meta(ge=0, le=1, description="fraction of calls that the mode applies to")] = 1.0
     listed: Annotated[
-        Literal["up", "draining", "removed"] | None, Meta(description="what the list says of it from then on")
+        Literal["up", "draining", "removed"] | None, Meta(description="status in the list from then on")
     ] = None
     silence: Annotated[
         Literal["list", "notices", "all", "none"] | None,
-        Meta(description="what the platform leaves unanswered"),
+        Meta(description="requests that the platform leaves unanswered"),
     ] = None
 
 
 class Platform(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The platform's stand-in."""
+    """Addresses of the platform stand-in."""
 
     address: Annotated[str, Meta(description="host:port on loopback")] = "127.0.0.1:8500"
-    control: Annotated[str, Meta(description="host:port of its control")] = "127.0.0.1:8501"
+    control: Annotated[str, Meta(description="host:port of its control interface")] = "127.0.0.1:8501"
 
 
 class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -86,16 +94,18 @@
     endpoint: list[Endpoint]
     at: list[Change] = []
     platform: Platform = Platform()
-    control: Annotated[str, Meta(description="host:port of the partners' control")] = "127.0.0.1:8080"
-    seed: Annotated[int, Meta(ge=0, description="of all chance on this stage")] = 1
+    control: Annotated[str, Meta(description="host:port of the partners' control interface")] = (
+        "127.0.0.1:8080"
+    )
+    seed: Annotated[int, Meta(ge=0, description="seed of all random generators of the stage")] = 1
 
 
 class BadStage(Exception):
-    """A stage that cannot be used; the text has a line a fault."""
+    """The stage is invalid; the text has one line per fault."""
 
 
 def read(path: str) -> Stage:
-    """The stage in a file; raises BadStage with all its faults."""
+    """Reads and validates a stage file; raises BadStage with all faults found."""
     try:
         with open(path, "rb") as file:
             text = file.read().decode()
@@ -103,7 +113,7 @@
     except OSError as problem:
         raise BadStage(f"{path}: {problem.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as problem:
-        raise BadStage(f"{path}: is no TOML: {problem}") from None
+        raise BadStage(f"{path}: not valid TOML: {problem}") from None
     faults = [Fault(path, line_of(text, key), key, why) for key, why in faults_of(table)]
     if faults:
         raise BadStage("\n".join(map(str, faults)))
@@ -111,37 +121,41 @@
 
 
 def faults_of(table: dict) -> list[tuple[str, str]]:
-    """(dotted key, what is wrong) for each fault, of values first, then of what they say together."""
-    found = check(Stage, table, list(keys_of(Stage)))
-    if found:
-        return found
+    """Returns (dotted key, message) for each fault: of single values, else of contradicting values."""
+    faults = check(Stage, table, list(keys_of(Stage)))
+    if faults:
+        return faults
     stage = msgspec.convert(table, Stage)
-    names = [e.name for e in stage.endpoint]
-    twice = {n for n in names if names.count(n) > 1}
-    found = [(f"endpoint[{i}].name", f"{n} is there twice") for i, n in enumerate(names) if n in twice]
+    names = [endpoint.name for endpoint in stage.endpoint]
+    duplicates = {name for name in names if names.count(name) > 1}
+    faults = [
+        (f"endpoint[{i}].name", f"{name} is used twice") for i, name in enumerate(names) if name in duplicates
+    ]
     for i, change in enumerate(stage.at):
         if change.endpoint != "*" and change.endpoint not in names:
-            found.append((f"at[{i}].endpoint", f"there is no endpoint {change.endpoint}"))
+            faults.append((f"at[{i}].endpoint", f"no endpoint named {change.endpoint}"))
         if change.mode is None and change.listed is None and change.silence is None:
-            found.append((f"at[{i}]", "changes nothing: mode, listed or silence is missing"))
+            faults.append((f"at[{i}]", "has no effect: one of mode, listed and silence is required"))
     for i, endpoint in enumerate(stage.endpoint):
-        found += _address(f"endpoint[{i}].address", endpoint.address)
+        faults += _address(f"endpoint[{i}].address", endpoint.address)
     for key in ("control", "platform.address", "platform.control"):
         value = stage
         for part in key.split("."):
             value = getattr(value, part)
-        found += _address(key, value)
-    return found
+        faults += _address(key, value)
+    return faults
 
 
 def _address(key: str, text: str) -> list[tuple[str, str]]:
+    """The fault of an address that is not host:port on loopback, if any."""
     host, _, port = text.rpartition(":")
-    good = host.startswith("127.") or host in ("localhost", "[::1]")
-    if good and port.isascii() and port.isdigit() and int(port) < 65536:
+    is_loopback = host.startswith("127.") or host in ("localhost", "[::1]")
+    if is_loopback and port.isascii() and port.isdigit() and int(port) < 65536:
         return []
     return [(key, f"found {text}, must be host:port on loopback")]
 
 
 def split(address: str) -> tuple[str, int]:
+    """Splits host:port; the brackets of an IPv6 host are removed."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/ryestack/standins/timeline.py
+++ b/ryestack/standins/timeline.py
@@ -1,22 +1,22 @@
-"""What is due on a timeline. Pure; the clock is an argument."""
+"""Timeline of scripted changes. No I/O: the elapsed time is an argument."""
 
 from .stage import Change
 
 
 class Timeline:
-    """Changes in order of time; each is given once."""
+    """Changes sorted by time; due() returns each of them once."""
 
     def __init__(self, changes: list[Change]):
-        self.changes = sorted(changes, key=lambda c: c.after)
-        self.at = 0
+        self.changes = sorted(changes, key=lambda change: change.after)
+        self.next_index = 0
 
-    def due(self, gone: float) -> list[Change]:
-        """Those due after so many seconds that were not given yet."""
-        first = self.at
-        while self.at < len(self.changes) and self.changes[self.at].after <= gone:
-            self.at += 1
-        return self.changes[first : self.at]
+    def due(self, elapsed: float) -> list[Change]:
+        """Changes due by this time, in seconds from the start, that were not returned before."""
+        first = self.next_index
+        while self.next_index < len(self.changes) and self.changes[self.next_index].after <= elapsed:
+            self.next_index += 1
+        return self.changes[first : self.next_index]
 
     def next(self) -> float | None:
-        """Seconds from the start to the next one."""
-        return self.changes[self.at].after if self.at < len(self.changes) else None
+        """Time of the next change in seconds from the start; None if there is none."""
+        return self.changes[self.next_index].after if self.next_index < len(self.changes) else None
