--- a/ryestack/lab/soak/__init__.py
+++ b/ryestack/lab/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A soak test of real processes on loopback: relays under system-call faults, partners behind proxies,
-clients that misbehave, signals; two or three troubles overlap at any time, and invariants judge the outcome.
+"""Soak test with real processes on loopback: relays under system-call faults, partners behind faulty proxies,
+misbehaving clients, and signals. Two or three faults overlap at any time; invariants are checked at the end.
 
-`schedule` draws what happens from a seed; `scenario` plays it; `invariants` judges the books of all outside.
+`schedule` draws the faults from a seed, `scenario` runs them, `invariants` checks the records that clients,
+partners and the platform kept.
 """
--- a/ryestack/lab/soak/fault_control.py
+++ b/ryestack/lab/soak/fault_control.py
@@ -1,4 +1,4 @@
-"""Turns system-call faults of running processes on and off, through the file that faults.c maps."""
+"""Switches system-call faults of running processes on and off, through the file that faults.c maps."""
 
 import errno
 import mmap
@@ -9,18 +9,18 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("faults.c")
-MILLION = 1_000_000
-OFFSET = struct.Struct("=d")
-RATE = struct.Struct("=Ii")
-COUNT = struct.Struct("=I")
+PARTS_PER_MILLION = 1_000_000
+WALL_OFFSET = struct.Struct("=d")
+FAULT_SETTING = struct.Struct("=Ii")
+INJECTED_COUNT = struct.Struct("=I")
 
 
 class NoCompiler(Exception):
-    """There is no C compiler to build the library with."""
+    """No C compiler was found to build the faults library."""
 
 
 class Fault(IntEnum):
-    """In the order of faults.c."""
+    """The faults, in the order of `enum fault` in faults.c."""
 
     ACCEPT_FAILS = 0
     SOCKET_FAILS = 1
@@ -36,23 +36,23 @@
     WAIT_INTERRUPTED = 11
 
 
-ERRORS = {Fault.WAIT_INTERRUPTED: errno.EINTR, Fault.RECEIVE_FAILS: errno.ETIMEDOUT}
-SIZE = OFFSET.size + len(Fault) * (RATE.size + COUNT.size)
+DEFAULT_ERRNOS = {Fault.WAIT_INTERRUPTED: errno.EINTR, Fault.RECEIVE_FAILS: errno.ETIMEDOUT}
+SIZE = WALL_OFFSET.size + len(Fault) * (FAULT_SETTING.size + INJECTED_COUNT.size)
 
 
 def build(folder: Path) -> Path:
-    """The library, compiled into that folder; raises NoCompiler or CalledProcessError."""
+    """Compiles the library into the folder and returns its path; raises NoCompiler or CalledProcessError."""
     compiler = shutil.which("cc") or shutil.which("gcc")
     if compiler is None:
         raise NoCompiler("a C compiler (cc or gcc) is needed for system-call faults")
-    made = folder / "faults.so"
+    library = folder / "faults.so"
     command = [compiler, "-O2", "-Wall", "-Wextra", "-Werror", "-shared", "-fPIC"]
-    subprocess.run([*command, "-o", str(made), str(SOURCE), "-ldl"], check=True, capture_output=True)
-    return made
+    subprocess.run([*command, "-o", str(library), str(SOURCE), "-ldl"], check=True, capture_output=True)
+    return library
 
 
 class FaultControl:
-    """The faults of one relay. path: of the mapped file, made anew."""
+    """The faults of one relay. path: the mapped file, which is created or overwritten."""
 
     def __init__(self, path: Path):
         self.path = path
@@ -61,7 +61,7 @@
             self.memory = mmap.mmap(file.fileno(), SIZE)
 
     def environment(self, library: Path, folder: Path) -> dict[str, str]:
-        """Of the process; folder: where its writes may fail."""
+        """Environment variables for the process; folder: where its writes may fail."""
         return {
             "LD_PRELOAD": str(library),
             "SOAK_FAULTS": str(self.path),
@@ -69,23 +69,30 @@
         }
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Seconds that the process's wall clock is off from now on."""
-        OFFSET.pack_into(self.memory, 0, seconds)
-
-    def set(self, fault: Fault, part: float, error: int = 0) -> None:
-        """part: of the calls that fail, 0 to 1; error: the errno, where the fault is a failure."""
-        number = error or ERRORS.get(fault, errno.EIO)
-        RATE.pack_into(self.memory, OFFSET.size + fault * RATE.size, round(part * MILLION), number)
+        """Sets the offset of the process's wall clock, in seconds."""
+        WALL_OFFSET.pack_into(self.memory, 0, seconds)
+
+    def set(self, fault: Fault, ratio: float, error: int = 0) -> None:
+        """Sets a fault. ratio: fraction of calls that fail, 0 to 1; error: errno, 0: its default."""
+        errno_value = error or DEFAULT_ERRNOS.get(fault, errno.EIO)
+        FAULT_SETTING.pack_into(
+            self.memory,
+            WALL_OFFSET.size + fault * FAULT_SETTING.size,
+            round(ratio * PARTS_PER_MILLION),
+            errno_value,
+        )
 
     def clear(self) -> None:
-        """No more faults; the wall clock stays as it is."""
+        """Switches all faults off; the wall-clock offset stays."""
         for fault in Fault:
             self.set(fault, 0.0)
 
     def injected(self) -> dict[str, int]:
-        """How often each fault struck, over all processes that map the file."""
-        base = OFFSET.size + len(Fault) * RATE.size
-        counts = {f.name: COUNT.unpack_from(self.memory, base + f * COUNT.size)[0] for f in Fault}
+        """Number of injections of each fault, over all processes that map the file."""
+        base = WALL_OFFSET.size + len(Fault) * FAULT_SETTING.size
+        counts = {
+            f.name: INJECTED_COUNT.unpack_from(self.memory, base + f * INJECTED_COUNT.size)[0] for f in Fault
+        }
         return {name: count for name, count in counts.items() if count}
 
     def close(self) -> None:
--- a/ryestack/lab/soak/faults.c
+++ b/ryestack/lab/soak/faults.c
@@ -1,9 +1,9 @@
 /*
- * System calls that fail as Linux documents: a library for LD_PRELOAD, loaded into the relays of a soak test.
+ * Fault injection into system calls, for LD_PRELOAD in the relays of a soak test. Calls fail as Linux documents.
  *
- * It reads one mapped file, whose path is in SOAK_FAULTS, so that the test can turn faults on and off while
- * processes run. Writes are disturbed only in the folder that SOAK_FAULTS_FOLDER names. Each fault that is
- * injected is counted in the same file. The layout of struct control is that of fault_control.py.
+ * SOAK_FAULTS names a file that is mapped as struct control, so that the test can switch faults on and off while
+ * processes run. File operations fail only in the folder that SOAK_FAULTS_FOLDER names. Each injected fault is
+ * counted in the same file. fault_control.py uses the same layout as struct control.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -205,7 +205,7 @@
 {
     if (strikes(RECEIVE_FAILS)) {
         int error = errno;
-        struct linger reset = {1, 0}; /* broken for the other side too: a reset, no end in order */
+        struct linger reset = {1, 0}; /* the peer must see a reset, not an orderly close */
         setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
         errno = error;
         return -1;
--- a/ryestack/lab/soak/http_client.py
+++ b/ryestack/lab/soak/http_client.py
@@ -1,7 +1,7 @@
-"""A client of one relay as a process of its own, on raw sockets: it must see how each connection ends.
+"""Client process of one relay, on raw sockets because it must observe how each connection ends.
 
-Started as `python -m ryestack.lab.soak.http_client PLAN`, a ClientPlan as JSON; it appends each Attempt to
-the report as it ends, a JSON object a line.
+Started as `python -m ryestack.lab.soak.http_client PLAN`, PLAN being a file with a ClientPlan as JSON.
+Appends each finished Attempt to the report, one JSON object a line.
 """
 
 import asyncio
@@ -14,25 +14,25 @@
 
 import msgspec
 
-from .model import STOPS, Answer, Attempt, Behaviour
+from .model import INCOMPLETE, Answer, Attempt, Behaviour
 
-PATIENCE = 0.4  # seconds that a client waits for its answer
-STOP_PATIENCE = 5.0  # seconds that one which stops within a request watches its connection
-KEPT = 8  # idle connections that a client keeps
-IDLE = 2.0  # seconds after which it takes no idle connection any more
-GARBAGE_WITHIN = 0.01  # seconds behind a whole request
-STATUS = {
+ANSWER_TIMEOUT_S = 0.4  # time that a client waits for an answer
+INCOMPLETE_REQUEST_TIMEOUT_S = 5.0  # time that it watches a connection after an incomplete request
+MAX_IDLE_CONNECTIONS = 8  # per client
+MAX_IDLE_TIME_S = 2.0  # older idle connections are not reused
+MAX_GARBAGE_DELAY_S = 0.01  # after a complete request
+ANSWER_BY_STATUS = {
     200: Answer.TAKEN, 202: Answer.TAKEN, 429: Answer.THROTTLED, 503: Answer.THROTTLED,
     400: Answer.MALFORMED, 408: Answer.MALFORMED, 413: Answer.MALFORMED,
 }  # fmt: skip
-BEHAVIOURS = {
+BEHAVIOUR_WEIGHTS = {
     Behaviour.PLAIN: 80.0, Behaviour.GARBAGE_BEHIND: 4.0, Behaviour.SPLIT: 6.0, Behaviour.LEAVES: 3.0,
     Behaviour.HALF_HEAD: 2.0, Behaviour.HALF_BODY: 2.0, Behaviour.NONSENSE: 2.0,
 }  # fmt: skip
 
 
 class ClientTopic(msgspec.Struct, frozen=True):
-    """effect: as the oracle's; seconds: that a notification may take."""
+    """A topic to send. effect: as in the oracle; seconds: TTL of its notifications."""
 
     name: str
     effect: str
@@ -40,7 +40,7 @@
 
 
 class ClientPlan(msgspec.Struct, frozen=True):
-    """relay: its number; address: where clients reach it; rate: a second; begin: of the wall clock."""
+    """relay: its number; address: where it listens; rate: requests a second; begin: wall-clock time."""
 
     relay: int
     address: str
@@ -56,44 +56,46 @@
 
 @dataclass(slots=True)
 class Connection:
+    """A connection to the relay. last_used: wall-clock time of its last answer."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    used: float = 0.0
+    last_used: float = 0.0
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
 class Client:
-    """Sends a plan's requests, each at its time, and reports what became of them."""
+    """Sends the requests of a plan at random times with its rate, and reports their outcomes."""
 
     def __init__(self, plan: ClientPlan):
-        self.plan, self.chance = plan, Random(f"client {plan.seed} {plan.relay}")
+        self.plan, self.rng = plan, Random(f"client {plan.seed} {plan.relay}")
         self.idle: list[Connection] = []
         self.host, _, port = plan.address.rpartition(":")
         self.port, self.count = int(port), 0
-        self.report = open(plan.report, "ab", buffering=0)  # noqa: SIM115 - open as long as the process
+        self.report = open(plan.report, "ab", buffering=0)  # noqa: SIM115 - stays open until the process ends
 
     async def run(self) -> None:
         plan, tasks, now = self.plan, set(), 0.0
         while now < plan.seconds:
-            now += self.chance.expovariate(plan.rate)
+            now += self.rng.expovariate(plan.rate)
             await asyncio.sleep(max(0.0, plan.begin + now - time.time()))
-            task = asyncio.ensure_future(self.one())
+            task = asyncio.ensure_future(self.send_one())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         await asyncio.gather(*tasks)
 
-    async def one(self) -> None:
-        topic, self.count = self.chance.choice(self.plan.topics), self.count + 1
-        behaviour = self.chance.choices(list(BEHAVIOURS), list(BEHAVIOURS.values()))[0]
-        name = f"r{self.plan.relay}-{self.plan.seed}-{self.count}"
-        key = f"k-{name}" if topic.effect == "collapsible" else ""
-        attempt = Attempt(name, self.plan.relay, topic.name, topic.effect, key, behaviour, 0.0, 0.0)
+    async def send_one(self) -> None:
+        topic, self.count = self.rng.choice(self.plan.topics), self.count + 1
+        behaviour = self.rng.choices(list(BEHAVIOUR_WEIGHTS), list(BEHAVIOUR_WEIGHTS.values()))[0]
+        request_id = f"r{self.plan.relay}-{self.plan.seed}-{self.count}"
+        key = f"k-{request_id}" if topic.effect == "collapsible" else ""
+        attempt = Attempt(request_id, self.plan.relay, topic.name, topic.effect, key, behaviour, 0.0, 0.0)
         attempt.sent = time.time()
         attempt.due = attempt.sent + topic.seconds
         with suppress(OSError, asyncio.IncompleteReadError):
-            await (self.stop_within if behaviour in STOPS else self.ask)(attempt, topic)
+            await (self.send_incomplete if behaviour in INCOMPLETE else self.send_request)(attempt, topic)
         self.report.write(msgspec.json.encode(attempt) + b"\n")
 
     def request(self, attempt: Attempt, topic: ClientTopic) -> bytes:
@@ -102,34 +104,35 @@
             "POST /api HTTP/1.1", "Host: service.internal", f"X-Request-Id: {attempt.id}",
             f"X-Class: {attempt.topic}", f"X-Tenant: {self.plan.customer}",
             f"X-Deadline: {topic.seconds * 1000.0:.0f}m", f"Content-Length: {len(body)}",
-            f"X-Envelope: dest={self.chance.choice(self.plan.destinations)}",
+            f"X-Envelope: dest={self.rng.choice(self.plan.destinations)}",
         ]  # fmt: skip
         lines += [f"Idempotency-Key: {attempt.key}"] if attempt.key else []
         return "\r\n".join([*lines, "", ""]).encode() + body
 
     async def connection(self, attempt: Attempt, fresh: bool) -> Connection | None:
+        """Reuses an idle connection unless fresh, or opens one; None, with the answer set, if that fails."""
         while self.idle and not fresh:
-            kept = self.idle.pop()
-            if time.time() < kept.used + IDLE and not kept.reader.at_eof():
+            connection = self.idle.pop()
+            if time.time() < connection.last_used + MAX_IDLE_TIME_S and not connection.reader.at_eof():
                 attempt.fresh = False
-                return kept
-            kept.close()
+                return connection
+            connection.close()
         attempt.fresh = True
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 return Connection(*await asyncio.open_connection(self.host, self.port))
         except TimeoutError:
-            attempt.answer = Answer.UNHEARD
+            attempt.answer = Answer.TIMED_OUT
         except OSError:
             attempt.answer = Answer.REFUSED
         return None
 
-    async def ask(self, attempt: Attempt, topic: ClientTopic) -> None:
-        """A whole request; once more on a new connection where an idle one ended under it."""
+    async def send_request(self, attempt: Attempt, topic: ClientTopic) -> None:
+        """Sends a complete request; retries on a new connection if a reused one was closed."""
         data = self.request(attempt, topic)
         fresh = attempt.behaviour is not Behaviour.PLAIN
-        for again in (False, True):
-            connection = await self.connection(attempt, fresh or again)
+        for is_retry in (False, True):
+            connection = await self.connection(attempt, fresh or is_retry)
             if connection is None:
                 attempt.ended = time.time()
                 return
@@ -138,23 +141,24 @@
                 return
 
     async def exchange(self, connection: Connection, attempt: Attempt, data: bytes, topic) -> None:
+        """Sends a request and waits for its answer; keeps the connection for reuse if possible."""
         status, keep = 0, False
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await self.send(connection, attempt, data)
                 attempt.sent = time.time()
                 attempt.due = attempt.sent + topic.seconds
                 status, keep = await read_answer(connection.reader)
-            attempt.answer = STATUS.get(status, Answer.EXPIRED)
+            attempt.answer = ANSWER_BY_STATUS.get(status, Answer.EXPIRED)
         except TimeoutError:
-            attempt.answer = Answer.UNHEARD
+            attempt.answer = Answer.TIMED_OUT
         except asyncio.IncompleteReadError:
             attempt.answer = Answer.CLOSED
         except OSError:
             attempt.answer = Answer.RESET
         attempt.ended = time.time()
-        if keep and attempt.behaviour is Behaviour.PLAIN and len(self.idle) < KEPT:
-            connection.used = attempt.ended
+        if keep and attempt.behaviour is Behaviour.PLAIN and len(self.idle) < MAX_IDLE_CONNECTIONS:
+            connection.last_used = attempt.ended
             self.idle.append(connection)
         else:
             connection.close()
@@ -162,12 +166,12 @@
     async def send(self, connection: Connection, attempt: Attempt, data: bytes) -> None:
         if attempt.behaviour is Behaviour.GARBAGE_BEHIND:
             connection.writer.write(data)
-            await asyncio.sleep(self.chance.uniform(0.0, GARBAGE_WITHIN))
+            await asyncio.sleep(self.rng.uniform(0.0, MAX_GARBAGE_DELAY_S))
             data = b"\x00\x01 no request\r\n\r\n"
         if attempt.behaviour is Behaviour.SPLIT:
             third = len(data) // 3
-            for at in (0, third):
-                connection.writer.write(data[at : at + third])
+            for offset in (0, third):
+                connection.writer.write(data[offset : offset + third])
                 await asyncio.sleep(0.01)
             data = data[2 * third :]
         connection.writer.write(data)
@@ -176,8 +180,8 @@
             connection.close()
             raise asyncio.IncompleteReadError(b"", None)
 
-    async def stop_within(self, attempt: Attempt, topic: ClientTopic) -> None:
-        """Part of a request, or none: it is owed an error or an end."""
+    async def send_incomplete(self, attempt: Attempt, topic: ClientTopic) -> None:
+        """Sends an incomplete or invalid request: the relay must answer an error or close the connection."""
         connection = await self.connection(attempt, True)
         if connection is None:
             attempt.ended = time.time()
@@ -191,12 +195,12 @@
         }
         attempt.sent = time.time()
         try:
-            async with asyncio.timeout(STOP_PATIENCE):
+            async with asyncio.timeout(INCOMPLETE_REQUEST_TIMEOUT_S):
                 connection.writer.write(parts[attempt.behaviour])
                 status, _ = await read_answer(connection.reader)
-            attempt.answer = STATUS.get(status, Answer.EXPIRED)
+            attempt.answer = ANSWER_BY_STATUS.get(status, Answer.EXPIRED)
         except TimeoutError:
-            attempt.answer = Answer.UNHEARD
+            attempt.answer = Answer.TIMED_OUT
         except asyncio.IncompleteReadError:
             attempt.answer = Answer.CLOSED
         except OSError:
@@ -206,7 +210,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bool]:
-    """Status, and whether the connection may be kept."""
+    """Reads an answer; returns its status and whether the connection may be reused."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     lines = head.split(b"\r\n")
     length = next((int(x.split(b":")[1]) for x in lines if x.startswith(b"content-length:")), 0)
--- a/ryestack/lab/soak/model.py
+++ b/ryestack/lab/soak/model.py
@@ -1,4 +1,4 @@
-"""What a soak test is made of: troubles and when they come, and what clients saw. Typed values only."""
+"""Data model of the soak test: troubles (injected faults) with their times, and what clients observed."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(Enum):
-    """A trouble. Those of relays strike one relay, those of partners one partner, and so on."""
+    """Kind of a trouble. It affects one relay, one partner, or the registry."""
 
     KILL = "kill"
     STOP = "stop"
@@ -44,8 +44,8 @@
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """begin, seconds: from the first hand-in, and how long it lasts; target: number of a relay or partner;
-    amount: seconds of a clock step or pause, else the part of calls that fail."""
+    """One injected fault. begin: seconds from the start of the requests; seconds: duration; target: number
+    of a relay or partner; amount: seconds of a clock step or pause, else the fraction of calls that fail."""
 
     kind: Kind
     begin: float
@@ -58,8 +58,8 @@
 
 
 class Behaviour(Enum):
-    """What a client does with a connection. All but the last three send a whole request, which is owed an
-    answer."""
+    """What a client does on a connection. All but the last three send a complete request, which must be
+    answered unless the client leaves."""
 
     PLAIN = "plain"
     GARBAGE_BEHIND = "bytes that are no request behind a whole one"
@@ -70,13 +70,13 @@
     NONSENSE = "bytes that are no request"
 
 
-OWED_AN_ANSWER = (Behaviour.PLAIN, Behaviour.GARBAGE_BEHIND, Behaviour.SPLIT)
-STOPS = (Behaviour.HALF_HEAD, Behaviour.HALF_BODY, Behaviour.NONSENSE)
+MUST_ANSWER = (Behaviour.PLAIN, Behaviour.GARBAGE_BEHIND, Behaviour.SPLIT)
+INCOMPLETE = (Behaviour.HALF_HEAD, Behaviour.HALF_BODY, Behaviour.NONSENSE)
 
 
 class Answer(Enum):
-    """How a request ended for its client. CLOSED: the connection ended in order, with no answer; RESET: it
-    was reset; REFUSED: no connection came up; UNHEARD: nothing came in the time that clients wait."""
+    """How a request ended for its client. CLOSED: the connection was closed without an answer; RESET: it was
+    reset; REFUSED: the connection failed; TIMED_OUT: no answer within the time that clients wait."""
 
     TAKEN = "taken"
     THROTTLED = "throttled"
@@ -85,12 +85,12 @@
     CLOSED = "closed"
     RESET = "reset"
     REFUSED = "refused"
-    UNHEARD = "unheard"
+    TIMED_OUT = "unheard"
 
 
 class Attempt(msgspec.Struct):
-    """One request as its client saw it. sent: when its last byte was written; fresh: on a connection of its
-    own; ended: when the answer, or the end of the connection, was there. Seconds of the wall clock."""
+    """One request as its client saw it. sent: when its last byte was written; due: its deadline; fresh: on a
+    new connection; ended: when the answer or the end of the connection arrived. Wall-clock seconds."""
 
     id: str
     relay: int
@@ -100,13 +100,14 @@
     behaviour: Behaviour
     sent: float
     due: float
-    answer: Answer = Answer.UNHEARD
+    answer: Answer = Answer.TIMED_OUT
     ended: float = 0.0
     fresh: bool = True
 
 
-class Away(msgspec.Struct, frozen=True):
-    """When a relay was ended, by SIGTERM or SIGKILL, and when it was ready again. Seconds of the wall."""
+class Restart(msgspec.Struct, frozen=True):
+    """A restart of a relay. begin: when the signal was sent; killed: when the process had ended; ready: when
+    the next one was ready. Wall-clock seconds."""
 
     relay: int
     begin: float
@@ -115,7 +116,7 @@
 
 
 class Drained(msgspec.Struct, frozen=True):
-    """An endpoint that the registry listed as draining from begin to end. Seconds of the wall clock."""
+    """An endpoint that the registry listed as draining from begin to end, in wall-clock seconds."""
 
     endpoint: str
     begin: float
@@ -123,8 +124,8 @@
 
 
 class Disturbed(msgspec.Struct, frozen=True):
-    """An endpoint whose link held or delayed what it carried from begin to end: what it told then was late to
-    relays. Seconds of the wall clock."""
+    """An endpoint whose link held or delayed data from begin to end, so that its answers reached relays late.
+    Wall-clock seconds."""
 
     endpoint: str
     begin: float
@@ -132,7 +133,7 @@
 
 
 class Returned(msgspec.Struct, frozen=True):
-    """An endpoint that came back cold. Seconds of the wall clock."""
+    """An endpoint that came back cold after an outage. at: wall-clock seconds."""
 
     endpoint: str
     at: float
--- a/ryestack/lab/soak/processes.py
+++ b/ryestack/lab/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak test: relays under the faults library, partners, proxies, clients, the platform."""
+"""The helper processes of a soak test: partners, the platform, proxies and clients; and the ports of all."""
 
 import asyncio
 import os
@@ -17,37 +17,37 @@
 from ..trial import TrialFailed
 from .http_client import ClientPlan
 
-READY_WITHIN = 10.0  # seconds that a restart of a relay may take
-HELPER_READY_WITHIN = 40.0  # the same for a stand-in's first start, which is not judged
-LEFT_WITHIN = 5.0  # seconds that a helper process has to end
+READY_TIMEOUT_S = 10.0  # for a restart of a relay
+HELPER_READY_TIMEOUT_S = 40.0  # for the first start of a stand-in, which is not under test
+EXIT_TIMEOUT_S = 5.0  # for a helper process to end after SIGTERM
 
 
 class Ports:
-    """Free ports for one run, none twice, from a range that other runs beside it hardly share."""
+    """Free ports for one run, each given once, from a range that concurrent runs are unlikely to share."""
 
-    FIRST, RANGE, SIZE = 20_000, 20, 600  # below those that the system gives to outgoing connections
+    FIRST, RANGE, SIZE = 20_000, 20, 600  # below the system's ephemeral ports
 
     def __init__(self):
         begin = self.FIRST + os.getpid() % self.RANGE * self.SIZE
-        self.left = iter(range(begin, begin + self.SIZE))
+        self.remaining = iter(range(begin, begin + self.SIZE))
 
     def address(self) -> str:
-        """Raises TrialFailed once there are no more."""
-        for port in self.left:
+        """Returns the address of a free port; raises TrialFailed when the range is used up."""
+        for port in self.remaining:
             with suppress(OSError), socket.create_server(("127.0.0.1", port)):
                 return f"127.0.0.1:{port}"
-        raise TrialFailed("no free port is left")
+        raise TrialFailed("no free port left in the range of this run")
 
 
 class Helper:
-    """A process that is no relay. ready: a word of its output that says it serves."""
+    """A process other than a relay: a Python module with arguments, whose stderr goes to NAME.log."""
 
     def __init__(self, command: list[str], folder: Path, name: str):
         self.command, self.folder, self.name = command, folder, name
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> str:
-        """The first line that it prints."""
+        """Starts the process; returns the first line that it prints."""
         with open(self.folder / f"{self.name}.log", "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", *self.command, start_new_session=True,
@@ -59,14 +59,14 @@
         if self.process and self.process.returncode is None:
             self.process.terminate()
             try:
-                await asyncio.wait_for(self.process.wait(), LEFT_WITHIN)
+                await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
             except TimeoutError:
                 self.process.kill()
                 await self.process.wait()
 
 
 class StandIn(Helper):
-    """`ryestack standin partner` or `platform`, told live at its control address."""
+    """`ryestack standin partner` or `platform`, controlled at run time through its control address."""
 
     def __init__(self, kind: str, stage: dict, control: str, folder: Path, name: str):
         path = folder / f"{name}.toml"
@@ -79,21 +79,22 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", *self.command, start_new_session=True, stdout=log, stderr=log
             )
-        until = time.monotonic() + HELPER_READY_WITHIN
-        while time.monotonic() < until and self.process.returncode is None:
-            if await self.tell({"listed": "up"}, check=False):
+        deadline = time.monotonic() + HELPER_READY_TIMEOUT_S
+        while time.monotonic() < deadline and self.process.returncode is None:
+            if await self.apply({"listed": "up"}, check=False):
                 return self.control
             await asyncio.sleep(0.02)
-        raise TrialFailed(f"{self.name} did not serve")
+        raise TrialFailed(f"{self.name} exited or was not ready within {HELPER_READY_TIMEOUT_S:g} s")
 
-    async def tell(self, change: dict, check: bool = True) -> bool:
+    async def apply(self, change: dict, check: bool = True) -> bool:
+        """Sends a change; returns whether it was applied. check: raise TrialFailed if it is refused."""
         try:
-            limit = aiohttp.ClientTimeout(total=2.0)
+            timeout = aiohttp.ClientTimeout(total=2.0)
             address = f"http://{self.control}/behave"
-            async with aiohttp.request("POST", address, json=change, timeout=limit) as answer:
-                if answer.status != 200 and check:
-                    raise TrialFailed(f"{self.name}: {change}: {await answer.text()}")
-                return answer.status == 200
+            async with aiohttp.request("POST", address, json=change, timeout=timeout) as response:
+                if response.status != 200 and check:
+                    raise TrialFailed(f"{self.name}: {change}: {await response.text()}")
+                return response.status == 200
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
 
@@ -102,7 +103,7 @@
 
 
 class Proxy(Helper):
-    """Links in front of a partner's endpoints; addresses: theirs, in the order of the targets."""
+    """Links in front of a partner's endpoints. addresses: of the links, in the order of the targets."""
 
     def __init__(self, seed: int, targets: list[str], folder: Path, name: str):
         super().__init__(["ryestack.lab.soak.proxy", str(seed), *targets], folder, name)
@@ -113,13 +114,14 @@
         self.addresses = line.split()
         return line
 
-    async def turn(self, mode: str) -> None:
+    async def set_mode(self, mode: str) -> None:
+        """Sets the mode of all links."""
         self.process.stdin.write(f"{mode}\n".encode())
         await self.process.stdin.drain()
 
 
 class ClientProcess(Helper):
-    """A client of one relay; it ends by itself."""
+    """A client of one relay; it exits at the end of its plan."""
 
     def __init__(self, plan: ClientPlan, folder: Path):
         path = folder / f"client-{plan.relay}.json"
--- a/ryestack/lab/soak/relay.py
+++ b/ryestack/lab/soak/relay.py
@@ -1,4 +1,4 @@
-"""A relay of a soak test over its lives: started, stopped, killed, upgraded, reloaded, held up."""
+"""A relay of a soak test across restarts: started, stopped, killed, upgraded, reloaded and paused."""
 
 import asyncio
 import json
@@ -14,15 +14,15 @@
 
 from ..trial import RelayProcess, TrialFailed
 from .fault_control import FaultControl
-from .model import Away
-from .processes import READY_WITHIN, Ports
+from .model import Restart
+from .processes import READY_TIMEOUT_S, Ports
 
-KILL_AFTER = 3.7  # seconds from SIGTERM to SIGKILL, as the platform has it
-DOWN = 0.6  # seconds from SIGKILL to the next start
+TERMINATION_GRACE_S = 3.7  # from SIGTERM to SIGKILL, as on the platform
+RESTART_DELAY_S = 0.6  # from SIGKILL to the next start
 
 
 class SoakRelay:
-    """One relay over its lives, each a process under the faults library."""
+    """One relay across restarts; each process runs under the faults library."""
 
     def __init__(self, number: int, config: dict, folder: Path, library: Path, ports: Ports):
         self.number, self.config, self.folder, self.ports = number, config, folder, ports
@@ -32,18 +32,18 @@
         operator = folder / "operator.toml"
         operator.write_text(tomli_w.dumps({"format": 1, "log": {"repeat": 0.0, "level": "DEBUG"}}))
         self.environment["RYESTACK_OPERATOR"] = str(operator)
-        self.away: list[Away] = []
+        self.restarts: list[Restart] = []
         self.problems: list[str] = []
         self.violations: dict[str, float] = {}
         self.clock_offset = 0.0
-        self.changing = asyncio.Lock()  # one start, stop or upgrade at a time, however slow the machine is
-        self.current = self.make()
+        self.lifecycle_lock = asyncio.Lock()  # serializes restarts and upgrades, also on a slow machine
+        self.current = self.new_process()
 
-    def make(self) -> RelayProcess:
-        made = RelayProcess(self.config, self.folder, environment=self.environment)
-        made.ops = self.ports.address()
-        made.ready_within = READY_WITHIN
-        return made
+    def new_process(self) -> RelayProcess:
+        process = RelayProcess(self.config, self.folder, environment=self.environment)
+        process.ops = self.ports.address()
+        process.ready_within = READY_TIMEOUT_S
+        return process
 
     async def start(self) -> None:
         await self.current.start()
@@ -53,91 +53,91 @@
         return process is not None and process.returncode is None
 
     async def kill(self) -> None:
-        async with self.changing:
+        async with self.lifecycle_lock:
             await self.restart(signal.SIGKILL)
 
     async def stop(self) -> None:
-        async with self.changing:
+        async with self.lifecycle_lock:
             await self.restart(signal.SIGTERM)
 
-    async def restart(self, number: int) -> None:
-        """End it, wait as the platform does, start it again."""
+    async def restart(self, signal_number: int) -> None:
+        """Ends the process, kills it after the grace period, and starts a new one, as the platform does."""
         await self.count_violations()
-        began = time.time()
-        self.current.process.send_signal(number)
+        begin_time = time.time()
+        self.current.process.send_signal(signal_number)
         try:
-            status = await asyncio.wait_for(self.current.process.wait(), KILL_AFTER)
+            status = await asyncio.wait_for(self.current.process.wait(), TERMINATION_GRACE_S)
         except TimeoutError:
             status = await self.current.kill()
-        if number == signal.SIGTERM and status not in (0, -signal.SIGKILL):
+        if signal_number == signal.SIGTERM and status not in (0, -signal.SIGKILL):
             self.problems.append(f"relay {self.number} ended with {status} after SIGTERM")
         killed = time.time()
-        await asyncio.sleep(DOWN)
-        await self.start_again(began, killed)
+        await asyncio.sleep(RESTART_DELAY_S)
+        await self.start_again(begin_time, killed)
 
-    async def start_again(self, began: float, killed: float) -> None:
-        self.current = self.make()
+    async def start_again(self, begin_time: float, killed: float) -> None:
+        self.current = self.new_process()
         try:
             await self.current.start()
         except TrialFailed as failed:
-            self.problems.append(f"relay {self.number} did not start again: {failed}")
+            self.problems.append(f"relay {self.number} did not restart: {failed}")
             self.faults.clear()
             await self.current.close()
-            self.current = self.make()
+            self.current = self.new_process()
             await self.current.start()
-        self.away.append(Away(self.number, began, killed, time.time()))
+        self.restarts.append(Restart(self.number, begin_time, killed, time.time()))
 
     async def upgrade(self) -> None:
-        async with self.changing:
+        async with self.lifecycle_lock:
             await self.take_over()
 
     async def take_over(self) -> None:
-        """A second process in the same folder takes over, then the first is ended."""
+        """Starts a second process in the same folder, which takes over, then terminates the first."""
         await self.count_violations()
-        elder, began = self.current, time.time()
-        heir = self.make()
+        predecessor, begin_time = self.current, time.time()
+        successor = self.new_process()
         try:
-            await heir.start()
+            await successor.start()
         except TrialFailed as failed:
             self.problems.append(f"relay {self.number}: its successor did not start: {failed}")
-            await heir.close()
+            await successor.close()
             return
-        self.current = heir
-        elder.process.send_signal(signal.SIGTERM)
+        self.current = successor
+        predecessor.process.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(elder.process.wait(), KILL_AFTER)
+            await asyncio.wait_for(predecessor.process.wait(), TERMINATION_GRACE_S)
         except TimeoutError:
-            await elder.kill()
-        self.away.append(Away(self.number, began, time.time(), time.time()))
+            await predecessor.kill()
+        self.restarts.append(Restart(self.number, begin_time, time.time(), time.time()))
 
     async def reload(self, times: int, change: Callable[[int], dict]) -> None:
-        """New configurations in a row, each with a SIGHUP."""
-        for turn in range(times):
-            made = self.folder / "config.json.new"
-            made.write_text(json.dumps(change(turn)))
-            os.replace(made, self.folder / "config.json")
+        """Writes several configurations in a row, each followed by a SIGHUP. change: makes the nth one."""
+        for iteration in range(times):
+            new_config = self.folder / "config.json.new"
+            new_config.write_text(json.dumps(change(iteration)))
+            os.replace(new_config, self.folder / "config.json")
             if self.alive():
                 with suppress(ProcessLookupError):
                     self.current.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.15)
 
     async def pause(self, seconds: float) -> None:
-        """Hold it up between any two of its instructions."""
+        """Suspends the process with SIGSTOP for some seconds, at an arbitrary point of its execution."""
         process = self.current.process
         if process.returncode is None:
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(seconds)
-            with suppress(ProcessLookupError):  # it was killed meanwhile
+            with suppress(ProcessLookupError):  # killed in the meantime
                 process.send_signal(signal.SIGCONT)
 
     async def count_violations(self) -> None:
-        """Add what this life's own checks counted: the figures end with the process."""
+        """Adds up the invariant violations in the process's metrics, which are lost when it ends."""
         try:
-            limit = aiohttp.ClientTimeout(total=1.0)
+            timeout = aiohttp.ClientTimeout(total=1.0)
             async with aiohttp.request(
-                "GET", f"http://{self.current.ops}/-/metrics", timeout=limit
-            ) as answer:
-                text = await answer.text()
+                "GET", f"http://{self.current.ops}/-/metrics", timeout=timeout
+            ) as response:
+                text = await response.text()
         except (aiohttp.ClientError, OSError, TimeoutError):
             return
         for line in text.splitlines():
--- a/ryestack/lab/soak/scenario.py
+++ b/ryestack/lab/soak/scenario.py
@@ -1,4 +1,4 @@
-"""Plays one soak test: starts all processes, lets the schedule's troubles happen, collects the evidence."""
+"""Runs one soak test: starts all processes, injects the scheduled troubles, collects the evidence."""
 
 import asyncio
 import time
@@ -26,15 +26,15 @@
     Topic("points", "collapsible", 6.0),
     Topic("charge", "once-only", 6.0),
 ]
-WINDOW = 3.0
+WINDOW_S = 3.0
 CUSTOMER = "acme"
-COLD = {"cold_time": 6.0, "cold_share": 0.15, "fall_factor": 1.3, "fall_time": 1.0}
-NEVER_FALLS = 100.0  # a partner that fell would hide by how much it was pushed over: the judge counts
-SETTLE = 9.0  # seconds after the last hand-in: the longest time, and a restart's margin
+COLD_START = {"cold_time": 6.0, "cold_share": 0.15, "fall_factor": 1.3, "fall_time": 1.0}
+UNREACHABLE_FALL_FACTOR = 100.0  # partners must not fall: the checker counts how far calls exceed the budget
+SETTLE_TIME_S = 9.0  # after the last request: the longest TTL and a margin for a restart
 
 
 class SoakPlan(msgspec.Struct, frozen=True):
-    """relays, partners: how many; rate: requests a second at each relay; seconds: of hand-ins."""
+    """relays, partners: how many; rate: requests a second at each relay; seconds: their duration."""
 
     seed: int
     relays: int = 8
@@ -45,13 +45,13 @@
 
 
 class Scenario(Troubles):
-    """All processes of one soak test. troubles: played instead of the seed's own."""
+    """All processes of one soak test. troubles: injected in place of those drawn from the seed."""
 
     def __init__(self, plan: SoakPlan, folder: Path, say: Callable[[str], None], troubles=None):
         self.plan, self.folder, self.say = plan, folder, say
         drawn = draw(plan.seed, plan.seconds, plan.relays, plan.partners)
         self.troubles: list[Trouble] = drawn if troubles is None else troubles
-        self.chance = Random(f"scenario {plan.seed}")
+        self.rng = Random(f"scenario {plan.seed}")
         self.ports = Ports()
         self.relays: list[SoakRelay] = []
         self.partners: list[StandIn] = []
@@ -70,11 +70,11 @@
             begin = time.time() + 0.5
             await self.start_clients(begin)
             self.say(f"{len(self.all())} processes, {len(self.troubles)} troubles")
-            await asyncio.gather(*(self.strike(trouble, begin) for trouble in self.troubles))
+            await asyncio.gather(*(self.inject(trouble, begin) for trouble in self.troubles))
             await asyncio.gather(*(client.process.wait() for client in self.clients))
             for relay in self.relays:
                 relay.faults.clear()
-            await asyncio.sleep(SETTLE)
+            await asyncio.sleep(SETTLE_TIME_S)
             return await self.evidence()
         finally:
             await asyncio.gather(*(each.close() for each in self.all()), return_exceptions=True)
@@ -83,7 +83,7 @@
         standing = [self.platform] if self.platform else []
         return [*self.clients, *self.relays, *self.proxies, *self.partners, *standing]
 
-    # -- the start --------------------------------------------------------------------------------------
+    # -- start ------------------------------------------------------------------------------------------
 
     async def start(self) -> None:
         library = build(self.folder)
@@ -114,43 +114,45 @@
         }  # fmt: skip
 
     async def start_partner(self, number: int) -> list[Endpoint]:
-        """Its endpoints as relays see them: at the addresses of the links before them."""
-        made = [
+        """Starts a partner and its proxy; returns its endpoints with the addresses of their links."""
+        endpoints = [
             Endpoint(
                 f"p{number}-{each}", number + 1, self.ports.address(), weight=self.plan.weight, slots=64,
-                pace=Pace(mean=0.04), **COLD,
+                pace=Pace(mean=0.04), **COLD_START,
             )
             for each in range(ENDPOINTS)
         ]  # fmt: skip
-        standing = [msgspec.structs.replace(each, fall_factor=NEVER_FALLS) for each in made]
+        standing = [msgspec.structs.replace(each, fall_factor=UNREACHABLE_FALL_FACTOR) for each in endpoints]
         stage = Stage(endpoint=standing, control=self.ports.address(), seed=self.plan.seed)
         partner = StandIn(
             "partner", msgspec.to_builtins(stage), stage.control, self.folder, f"partner-{number}"
         )
         await partner.start()
         proxy = Proxy(
-            self.plan.seed * 100 + number, [e.address for e in made], self.folder, f"proxy-{number}"
+            self.plan.seed * 100 + number, [e.address for e in endpoints], self.folder, f"proxy-{number}"
         )
         await proxy.start()
         self.partners.append(partner)
         self.proxies.append(proxy)
-        self.endpoints |= {endpoint.name: endpoint for endpoint in made}
+        self.endpoints |= {endpoint.name: endpoint for endpoint in endpoints}
         return [
             msgspec.structs.replace(endpoint, address=address)
-            for endpoint, address in zip(made, proxy.addresses, strict=True)
+            for endpoint, address in zip(endpoints, proxy.addresses, strict=True)
         ]
 
     def config(self, number: int, discovery: str, known: dict) -> dict:
-        made = platform_config(self.ports.address(), discovery, known, TOPICS, self.plan.seed * 100 + number)
-        made["name"] = f"r{number}"
-        settings = made["settings"]
+        config = platform_config(
+            self.ports.address(), discovery, known, TOPICS, self.plan.seed * 100 + number
+        )
+        config["name"] = f"r{number}"
+        settings = config["settings"]
         settings["balancers"] = self.plan.relays
-        settings["grades"] = [{**grade, "windowMs": WINDOW * 1000.0} for grade in settings["grades"]]
+        settings["grades"] = [{**grade, "windowMs": WINDOW_S * 1000.0} for grade in settings["grades"]]
         settings["rules"] = {
-            "coldShare": COLD["cold_share"], "coldMs": COLD["cold_time"] * 1000.0,
-            "overloadFactor": COLD["fall_factor"], "fallMs": COLD["fall_time"] * 1000.0,
+            "coldShare": COLD_START["cold_share"], "coldMs": COLD_START["cold_time"] * 1000.0,
+            "overloadFactor": COLD_START["fall_factor"], "fallMs": COLD_START["fall_time"] * 1000.0,
         }  # fmt: skip
-        return made
+        return config
 
     async def start_clients(self, begin: float) -> None:
         topics = [ClientTopic(t.name, t.effect, t.ttl) for t in TOPICS]
@@ -164,16 +166,16 @@
             self.clients.append(ClientProcess(plan, self.folder))
         await asyncio.gather(*(client.start() for client in self.clients))
 
-    # -- the end ----------------------------------------------------------------------------------------
+    # -- end --------------------------------------------------------------------------------------------
 
     async def evidence(self) -> Evidence:
         books = Books()
         for each in [*self.partners, self.platform]:
-            found = await each.books()
-            books.runs += found.runs
-            books.notices += found.notices
-            books.arrivals += found.arrivals
-            books.whole = books.whole and found.whole
+            part_books = await each.books()
+            books.runs += part_books.runs
+            books.notices += part_books.notices
+            books.arrivals += part_books.arrivals
+            books.whole = books.whole and part_books.whole
         problems = []
         for relay in self.relays:
             await relay.count_violations()
@@ -182,30 +184,32 @@
                 f"relay {relay.number}: {name} {count:g}" for name, count in relay.violations.items()
             ]
             if not relay.alive():
-                problems.append(f"relay {relay.number} is gone: status {relay.current.process.returncode}")
+                problems.append(
+                    f"relay {relay.number} exited unexpectedly: status {relay.current.process.returncode}"
+                )
             for name, count in relay.faults.injected().items():
                 self.injected[name] = self.injected.get(name, 0) + count
         (self.folder / "books.json").write_bytes(dump(books))
-        away = [each for relay in self.relays for each in relay.away]
+        restarts = [each for relay in self.relays for each in relay.restarts]
         logs = {relay.number: relay.log() for relay in self.relays}
         return Evidence(
             attempts=self.attempts(),
             books=books,
             endpoints=self.endpoints,
-            away=away,
+            restarts=restarts,
             drained=self.drained,
             returned=self.returned,
             disturbed=self.disturbed,
             logs=logs,
             problems=problems,
-            window=WINDOW,
+            window=WINDOW_S,
             now=time.time(),
         )
 
     def attempts(self) -> list[Attempt]:
-        found = []
+        attempts = []
         for relay in self.relays:
             path = self.folder / f"client-{relay.number}.jsonl"
             lines = path.read_bytes().splitlines() if path.exists() else []
-            found += [msgspec.json.decode(line, type=Attempt) for line in lines]
-        return found
+            attempts += [msgspec.json.decode(line, type=Attempt) for line in lines]
+        return attempts
--- a/ryestack/lab/soak/troubles.py
+++ b/ryestack/lab/soak/troubles.py
@@ -1,4 +1,4 @@
-"""How each trouble of a schedule is brought about, on the processes of a soak test."""
+"""Injects each trouble of a schedule into the processes of a soak test."""
 
 import asyncio
 import errno
@@ -11,8 +11,8 @@
 from .processes import Proxy, StandIn
 from .relay import SoakRelay
 
-ENDPOINTS = 2  # of each partner
-TOLD_WAIT = 0.8  # seconds that a partner over its limit tells
+ENDPOINTS = 2  # per partner
+RETRY_AFTER_S = 0.8  # wait that a partner over its limit sends
 ERRNOS = {
     Kind.DISK_FAILS: (errno.ENOSPC, errno.EIO),
     Kind.ACCEPT_FAILS: (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EMFILE),
@@ -22,14 +22,14 @@
 PARTNER_MODES = {
     Kind.PARTNER_HANGS: {"mode": "silent"},
     Kind.PARTNER_RESETS: {"mode": "reset-after", "part": 0.5},
-    Kind.PARTNER_LIMITS: {"mode": "full", "wait": TOLD_WAIT},
+    Kind.PARTNER_LIMITS: {"mode": "full", "wait": RETRY_AFTER_S},
     Kind.PARTNER_ERRORS: {"mode": "error", "part": 0.5},
 }
 LINK_MODES = {Kind.LINK_LOST: "hole", Kind.LINK_RESETS: "reset", Kind.LINK_LATE: "late"}
 
 
 class Troubles:
-    """The part of a scenario that strikes. Its processes and records are the scenario's own."""
+    """Mixin of Scenario that injects troubles. Scenario sets the attributes."""
 
     relays: list[SoakRelay]
     partners: list[StandIn]
@@ -38,13 +38,14 @@
     drained: list[Drained]
     returned: list[Returned]
     disturbed: list[Disturbed]
-    chance: Random
+    rng: Random
     say: Callable[[str], None]
 
-    async def strike(self, trouble: Trouble, begin: float) -> None:
+    async def inject(self, trouble: Trouble, begin: float) -> None:
+        """Waits for the trouble's time, injects it, and returns when it is over. begin: wall-clock time."""
         await asyncio.sleep(max(0.0, begin + trouble.begin - time.time()))
-        told = f"{trouble.kind.value}, {trouble.target}, {trouble.seconds:.1f} s, {trouble.amount:.2f}"
-        self.say(f"{trouble.begin:6.2f} {told}")
+        description = f"{trouble.kind.value}, {trouble.target}, {trouble.seconds:.1f} s, {trouble.amount:.2f}"
+        self.say(f"{trouble.begin:6.2f} {description}")
         await self.handler(trouble)(trouble)
 
     def handler(self, trouble: Trouble) -> Callable[[Trouble], Awaitable[None]]:
@@ -56,7 +57,7 @@
         return {
             Kind.KILL: self.kill, Kind.STOP: self.stop, Kind.UPGRADE: self.upgrade, Kind.RELOAD: self.reload,
             Kind.PAUSE: self.pause, Kind.CLOCK_STEP: self.step_clock, Kind.DISK_SHORT: self.write_short,
-            Kind.SOCKET_IO: self.move_in_pieces, Kind.PARTNER_OUTAGE: self.partner_outage,
+            Kind.SOCKET_IO: self.transfer_short, Kind.PARTNER_OUTAGE: self.partner_outage,
             Kind.REGISTRY_SILENT: self.silence_registry, Kind.DRAIN: self.drain,
         }[trouble.kind]  # fmt: skip
 
@@ -71,19 +72,19 @@
 
     async def reload(self, trouble: Trouble) -> None:
         relay = self.relays[trouble.target]
-        most = relay.config["settings"]["allowed"]["maxAttempts"]
+        max_attempts = relay.config["settings"]["allowed"]["maxAttempts"]
 
-        def changed(turn: int) -> dict:
-            allowed = {**relay.config["settings"]["allowed"], "maxAttempts": most - turn % 2}
+        def changed(iteration: int) -> dict:
+            allowed = {**relay.config["settings"]["allowed"], "maxAttempts": max_attempts - iteration % 2}
             return {**relay.config, "settings": {**relay.config["settings"], "allowed": allowed}}
 
         await relay.reload(1 + int(trouble.seconds / 0.15), changed)
 
     async def pause(self, trouble: Trouble) -> None:
-        until = time.monotonic() + trouble.seconds
-        while time.monotonic() < until:
+        deadline = time.monotonic() + trouble.seconds
+        while time.monotonic() < deadline:
             await self.relays[trouble.target].pause(trouble.amount)
-            await asyncio.sleep(self.chance.uniform(0.05, 0.3))
+            await asyncio.sleep(self.rng.uniform(0.05, 0.3))
 
     async def step_clock(self, trouble: Trouble) -> None:
         relay = self.relays[trouble.target]
@@ -97,16 +98,16 @@
             Kind.CONNECT_FAILS: (Fault.CONNECT_FAILS, Fault.SOCKET_FAILS),
             Kind.CONNECTIONS_BREAK: (Fault.RECEIVE_FAILS,),
         }[trouble.kind]
-        await self.for_a_while(trouble, faults, self.chance.choice(ERRNOS[trouble.kind]))
+        await self.inject_faults(trouble, faults, self.rng.choice(ERRNOS[trouble.kind]))
 
     async def write_short(self, trouble: Trouble) -> None:
-        await self.for_a_while(trouble, (Fault.WRITE_SHORT, Fault.TRUNCATE_FAILS), errno.EIO)
+        await self.inject_faults(trouble, (Fault.WRITE_SHORT, Fault.TRUNCATE_FAILS), errno.EIO)
 
-    async def move_in_pieces(self, trouble: Trouble) -> None:
+    async def transfer_short(self, trouble: Trouble) -> None:
         faults = Fault.SEND_SHORT, Fault.RECEIVE_SHORT, Fault.WAIT_INTERRUPTED
-        await self.for_a_while(trouble, faults, 0)
+        await self.inject_faults(trouble, faults, 0)
 
-    async def for_a_while(self, trouble: Trouble, faults: tuple[Fault, ...], error: int) -> None:
+    async def inject_faults(self, trouble: Trouble, faults: tuple[Fault, ...], error: int) -> None:
         control = self.relays[trouble.target].faults
         for fault in faults:
             control.set(fault, trouble.amount, error)
@@ -114,38 +115,38 @@
         for fault in faults:
             control.set(fault, 0.0)
 
-    def names(self, trouble: Trouble) -> list[str]:
+    def endpoint_names(self, trouble: Trouble) -> list[str]:
         return [f"p{trouble.target}-{each}" for each in range(ENDPOINTS)]
 
     async def partner_outage(self, trouble: Trouble) -> None:
         partner = self.partners[trouble.target]
-        await partner.tell({"mode": "refuse"})
+        await partner.apply({"mode": "refuse"})
         await asyncio.sleep(trouble.seconds)
-        at = time.time()
-        await partner.tell({"mode": "cold"})
-        self.returned += [Returned(name, at) for name in self.names(trouble)]
+        returned_at = time.time()
+        await partner.apply({"mode": "cold"})
+        self.returned += [Returned(name, returned_at) for name in self.endpoint_names(trouble)]
 
     async def change_partner(self, trouble: Trouble) -> None:
         partner = self.partners[trouble.target]
-        await partner.tell(PARTNER_MODES[trouble.kind])
+        await partner.apply(PARTNER_MODES[trouble.kind])
         await asyncio.sleep(trouble.seconds)
-        await partner.tell({"mode": "ok"})
+        await partner.apply({"mode": "ok"})
 
     async def change_link(self, trouble: Trouble) -> None:
         proxy, begin = self.proxies[trouble.target], time.time()
-        await proxy.turn(LINK_MODES[trouble.kind])
+        await proxy.set_mode(LINK_MODES[trouble.kind])
         await asyncio.sleep(trouble.seconds)
-        await proxy.turn("ok")
-        self.disturbed += [Disturbed(name, begin, time.time()) for name in self.names(trouble)]
+        await proxy.set_mode("ok")
+        self.disturbed += [Disturbed(name, begin, time.time()) for name in self.endpoint_names(trouble)]
 
     async def silence_registry(self, trouble: Trouble) -> None:
-        await self.platform.tell({"silence": "list"})
+        await self.platform.apply({"silence": "list"})
         await asyncio.sleep(trouble.seconds)
-        await self.platform.tell({"silence": "none"})
+        await self.platform.apply({"silence": "none"})
 
     async def drain(self, trouble: Trouble) -> None:
-        name, begin = self.names(trouble)[0], time.time()
-        await self.platform.tell({"endpoint": name, "listed": "draining"})
+        name, begin = self.endpoint_names(trouble)[0], time.time()
+        await self.platform.apply({"endpoint": name, "listed": "draining"})
         await asyncio.sleep(trouble.seconds)
-        await self.platform.tell({"endpoint": name, "listed": "up"})
+        await self.platform.apply({"endpoint": name, "listed": "up"})
         self.drained.append(Drained(name, begin, time.time()))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test's own parts: what it draws, what its faults do, and that its judge sees each broken rule."""
+"""The soak test itself: its random schedule, its faulty links, and its checker of broken rules."""
 
 import asyncio
 import tempfile
@@ -11,11 +11,11 @@
     RESTARTS,
     Answer,
     Attempt,
-    Away,
     Behaviour,
     Disturbed,
     Drained,
     Kind,
+    Restart,
     Returned,
     Trouble,
 )
@@ -39,25 +39,25 @@
 
 def evidence(attempts=(), runs=(), notices=(), arrivals=(), **more):
     books = Books(runs=list(runs), notices=list(notices), arrivals=list(arrivals))
-    empty = {"away": [], "drained": [], "returned": [], "disturbed": [], "logs": {}, "problems": []}
+    empty = {"restarts": [], "drained": [], "returned": [], "disturbed": [], "logs": {}, "problems": []}
     return Evidence(
         attempts=list(attempts), books=books, endpoints={"p0-0": ENDPOINT}, window=3.0, now=200.0,
         **{**empty, **more},
     )  # fmt: skip
 
 
-def rules(told):
-    return [finding.rule for finding in judge_soak(told).findings]
+def rules(collected):
+    return [finding.rule for finding in judge_soak(collected).findings]
 
 
-class Schedule(unittest.TestCase):
+class ScheduleTest(unittest.TestCase):
     def test_the_same_seed_draws_the_same_and_troubles_overlap(self):
         first = schedule.draw(7, 60.0, 8, 8)
         self.assertEqual(first, schedule.draw(7, 60.0, 8, 8))
         self.assertNotEqual(first, schedule.draw(8, 60.0, 8, 8))
         self.assertGreater(schedule.overlaps(first), len(first) / 2)
 
-    def test_two_restarts_of_one_relay_are_never_played_at_once(self):
+    def test_two_restarts_of_one_relay_never_overlap(self):
         for seed in range(30):
             drawn = [t for t in schedule.draw(seed, 60.0, 3, 3) if t.kind in RESTARTS]
             for i, one in enumerate(drawn):
@@ -66,19 +66,19 @@
                     self.assertTrue(apart or one.target != other.target, (one, other))
 
 
-class Judge(unittest.TestCase):
-    def test_what_ends_in_time_breaks_nothing(self):
-        told = evidence(
+class CheckerTest(unittest.TestCase):
+    def test_outcomes_in_time_break_no_rule(self):
+        collected = evidence(
             [attempt(), attempt("r0-1-2", answer=Answer.THROTTLED), attempt("r0-1-3")],
             [run()],
             [Notice("r0-1-3", "failed", 105.0)],
         )
-        self.assertEqual(rules(told), [])
+        self.assertEqual(rules(collected), [])
 
-    def test_each_broken_rule_is_seen(self):
+    def test_each_broken_rule_is_found(self):
         cold = [Arrival(f"r0-1-{n}", "p0-0", 100.0 + n / 40.0, "run") for n in range(40)]
         drained = [Drained("p0-0", 90.0, 120.0)]
-        for rule, told in (
+        for rule, collected in (
             ("notification", evidence([attempt()])),  # lost
             ("notification", evidence([attempt()], [run(), run(at=102.0)])),  # twice
             ("late end", evidence([attempt()], [], [Notice("r0-1-1", "failed", 106.5)])),
@@ -90,43 +90,43 @@
             ("traceback", evidence(logs={0: "Traceback (most recent call last):\n"})),
             ("process", evidence(problems=["relay 0 is gone"])),
         ):
-            self.assertEqual(rules(told), [rule], rule)
+            self.assertEqual(rules(collected), [rule], rule)
 
-    def test_a_wait_binds_the_relay_that_was_told_it_until_it_restarts(self):
-        told = Arrival("r0-1-1", "p0-0", 100.0, "full", 1.0)
+    def test_a_wait_binds_the_relay_that_received_it_until_it_restarts(self):
+        refused = Arrival("r0-1-1", "p0-0", 100.0, "full", 1.0)
         again = Arrival("r0-1-2", "p0-0", 100.5, "run")
-        self.assertEqual(rules(evidence(arrivals=[told, again])), ["wait"])
+        self.assertEqual(rules(evidence(arrivals=[refused, again])), ["wait"])
         for other in (
             Arrival("r0-1-2", "p0-0", 100.05, "run"),
             Arrival("r1-1-2", "p0-0", 100.5, "run"),
             Arrival("r0-1-2", "p0-0", 101.0, "run"),
         ):
-            self.assertEqual(rules(evidence(arrivals=[told, other])), [])
-        for at, broken in ((99.0, []), (90.0, ["wait"])):  # its link was late then: the relay can't know yet
+            self.assertEqual(rules(evidence(arrivals=[refused, other])), [])
+        for at, broken in ((99.0, []), (90.0, ["wait"])):  # late link: the wait is not known yet
             slow = [Disturbed("p0-0", at, at + 1.5)]
-            self.assertEqual(rules(evidence(arrivals=[told, again], disturbed=slow)), broken)
-        away = [Away(0, 100.1, 100.1, 100.4)]
-        self.assertEqual(rules(evidence(arrivals=[told, again], away=away)), [])
-
-    def test_an_end_that_a_restart_delays_is_not_late(self):
-        notice, away = Notice("r0-1-1", "failed", 107.0), Away(0, 105.0, 105.0, 106.0)
-        told = evidence([attempt()], [], [notice], away=[away])
-        self.assertEqual(rules(told), [])
-
-    def test_a_client_that_stops_within_its_request_hears_in_time(self):
-        left = attempt(answer=Answer.UNHEARD, behaviour=Behaviour.HALF_BODY)
-        left.ended = left.sent + 5.0
-        self.assertEqual(rules(evidence([left])), ["left open"])
+            self.assertEqual(rules(evidence(arrivals=[refused, again], disturbed=slow)), broken)
+        restarts = [Restart(0, 100.1, 100.1, 100.4)]
+        self.assertEqual(rules(evidence(arrivals=[refused, again], restarts=restarts)), [])
+
+    def test_an_outcome_that_a_restart_delays_is_not_late(self):
+        notice, restart = Notice("r0-1-1", "failed", 107.0), Restart(0, 105.0, 105.0, 106.0)
+        collected = evidence([attempt()], [], [notice], restarts=[restart])
+        self.assertEqual(rules(collected), [])
+
+    def test_an_incomplete_request_is_answered_or_closed_in_time(self):
+        incomplete = attempt(answer=Answer.TIMED_OUT, behaviour=Behaviour.HALF_BODY)
+        incomplete.ended = incomplete.sent + 5.0
+        self.assertEqual(rules(evidence([incomplete])), ["left open"])
         self.assertEqual(rules(evidence([attempt(answer=Answer.CLOSED, behaviour=Behaviour.HALF_BODY)])), [])
 
-    def test_the_budget_has_more_room_for_chance_where_few_calls_are_allowed(self):
+    def test_the_budget_has_a_larger_margin_where_few_calls_are_allowed(self):
         self.assertAlmostEqual(budget(25.0), 25.0 + 15.0 + 3.0)
         self.assertAlmostEqual(budget(100.0), 100.0 + 20.0 + 2.0)
 
 
-class Links(unittest.IsolatedAsyncioTestCase):
-    async def test_what_a_silent_link_holds_is_lost_once_its_sender_has_given_up(self):
-        for forgets in (True, False):
+class LinkTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_silent_link_drops_held_bytes_once_the_sender_has_closed(self):
+        for drop_on_close in (True, False):
             got = []
 
             async def take(reader, writer, got=got):
@@ -134,7 +134,7 @@
                 writer.close()
 
             server = await asyncio.start_server(take, "127.0.0.1", 0)
-            link = Link(server.sockets[0].getsockname()[:2], 1, forgets)
+            link = Link(server.sockets[0].getsockname()[:2], 1, drop_on_close)
             host, _, port = (await link.start()).rpartition(":")
             _, writer = await asyncio.open_connection(host, int(port))
             link.turn("hole")
@@ -144,13 +144,13 @@
             await asyncio.sleep(0.2)
             link.turn("ok")
             await asyncio.sleep(0.2)
-            self.assertEqual(b"".join(got), b"" if forgets else b"held")
+            self.assertEqual(b"".join(got), b"" if drop_on_close else b"held")
             await link.close()
             server.close()
 
 
-class Played(unittest.IsolatedAsyncioTestCase):
-    """A short test of real processes: the troubles that broke rules before, overlapping."""
+class RealProcessesTest(unittest.IsolatedAsyncioTestCase):
+    """A short run of real processes with overlapping troubles of the kinds that broke rules before."""
 
     TROUBLES = [
         Trouble(Kind.DISK_SHORT, 1.0, 3.0, 0, 0.4),
