--- a/ryestack/lab/soak/scenario.py
+++ b/ryestack/lab/soak/scenario.py
@@ -47,8 +47,8 @@
 class Scenario(Troubles):
     """All processes of one soak test. troubles: injected in place of those drawn from the seed."""
 
-    def __init__(self, plan: SoakPlan, folder: Path, say: Callable[[str], None], troubles=None):
-        self.plan, self.folder, self.say = plan, folder, say
+    def __init__(self, plan: SoakPlan, folder: Path, log: Callable[[str], None], troubles=None):
+        self.plan, self.folder, self.log = plan, folder, log
         drawn = draw(plan.seed, plan.seconds, plan.relays, plan.partners)
         self.troubles: list[Trouble] = drawn if troubles is None else troubles
         self.rng = Random(f"scenario {plan.seed}")
@@ -69,7 +69,7 @@
             await self.start()
             begin = time.time() + 0.5
             await self.start_clients(begin)
-            self.say(f"{len(self.all())} processes, {len(self.troubles)} troubles")
+            self.log(f"{len(self.all())} processes, {len(self.troubles)} troubles")
             await asyncio.gather(*(self.inject(trouble, begin) for trouble in self.troubles))
             await asyncio.gather(*(client.process.wait() for client in self.clients))
             for relay in self.relays:
@@ -80,8 +80,8 @@
             await asyncio.gather(*(each.close() for each in self.all()), return_exceptions=True)
 
     def all(self) -> list:
-        standing = [self.platform] if self.platform else []
-        return [*self.clients, *self.relays, *self.proxies, *self.partners, *standing]
+        platform = [self.platform] if self.platform else []
+        return [*self.clients, *self.relays, *self.proxies, *self.partners, *platform]
 
     # -- start ------------------------------------------------------------------------------------------
 
@@ -122,8 +122,10 @@
             )
             for each in range(ENDPOINTS)
         ]  # fmt: skip
-        standing = [msgspec.structs.replace(each, fall_factor=UNREACHABLE_FALL_FACTOR) for each in endpoints]
-        stage = Stage(endpoint=standing, control=self.ports.address(), seed=self.plan.seed)
+        never_falling = [
+            msgspec.structs.replace(each, fall_factor=UNREACHABLE_FALL_FACTOR) for each in endpoints
+        ]
+        stage = Stage(endpoint=never_falling, control=self.ports.address(), seed=self.plan.seed)
         partner = StandIn(
             "partner", msgspec.to_builtins(stage), stage.control, self.folder, f"partner-{number}"
         )
--- a/ryestack/lab/soak/troubles.py
+++ b/ryestack/lab/soak/troubles.py
@@ -39,21 +39,21 @@
     returned: list[Returned]
     disturbed: list[Disturbed]
     rng: Random
-    say: Callable[[str], None]
+    log: Callable[[str], None]
 
     async def inject(self, trouble: Trouble, begin: float) -> None:
         """Waits for the trouble's time, injects it, and returns when it is over. begin: wall-clock time."""
         await asyncio.sleep(max(0.0, begin + trouble.begin - time.time()))
         description = f"{trouble.kind.value}, {trouble.target}, {trouble.seconds:.1f} s, {trouble.amount:.2f}"
-        self.say(f"{trouble.begin:6.2f} {description}")
+        self.log(f"{trouble.begin:6.2f} {description}")
         await self.handler(trouble)(trouble)
 
     def handler(self, trouble: Trouble) -> Callable[[Trouble], Awaitable[None]]:
-        for kinds, play in (
+        for kinds, handler in (
             (ERRNOS, self.fail_calls), (PARTNER_MODES, self.change_partner), (LINK_MODES, self.change_link),
         ):  # fmt: skip
             if trouble.kind in kinds:
-                return play
+                return handler
         return {
             Kind.KILL: self.kill, Kind.STOP: self.stop, Kind.UPGRADE: self.upgrade, Kind.RELOAD: self.reload,
             Kind.PAUSE: self.pause, Kind.CLOCK_STEP: self.step_clock, Kind.DISK_SHORT: self.write_short,
