--- a/ryestack/lab/peer_stories.py
+++ b/ryestack/lab/peer_stories.py
@@ -1,7 +1,7 @@
-"""What befalls a cluster of relays under load: a story each, with faults between its processes.
+"""Stories for a cluster of relays under load: sequences of faults in its processes and links.
 
-Times are seconds from the first hand-in. A story gets the cluster (`lab.peers.Cluster`) and has it whole
-at its end, but for what it wiped.
+Times are seconds from the first request. A story gets the cluster (`lab.peers.Cluster`) and leaves all relays
+running and all links working at its end, except for relays that it wiped.
 """
 
 import asyncio
@@ -9,120 +9,134 @@
 import signal
 import time
 
-LEASE = 1.0
-ZONES = "ab"
+LEASE = 1.0  # seconds
+ZONES = "ab"  # the relays are placed in them alternately
 
 
-async def keeper_killed(c) -> None:
+async def keeper_killed(cluster) -> None:
+    """A relay is killed and soon started again."""
     await asyncio.sleep(2.5)
-    await c.kill("r0")
+    await cluster.kill("r0")
     await asyncio.sleep(0.4)
-    await c.restart("r0")
+    await cluster.restart("r0")
 
 
-async def keeper_wiped(c) -> None:
+async def keeper_wiped(cluster) -> None:
+    """A relay is killed and its state is lost."""
     await asyncio.sleep(2.5)
-    await c.kill("r0", wipe=True)
+    await cluster.kill("r0", wipe=True)
 
 
-async def keeper_wiped_and_back(c) -> None:
-    await keeper_wiped(c)
+async def keeper_wiped_and_back(cluster) -> None:
+    """A relay is killed, its state is lost, and it is started again."""
+    await keeper_wiped(cluster)
     await asyncio.sleep(0.5)
-    await c.restart("r0")
+    await cluster.restart("r0")
 
 
-async def keeper_stopped(c) -> None:
+async def keeper_stopped(cluster) -> None:
+    """A relay is paused by SIGSTOP for longer than a lease."""
     await asyncio.sleep(2.0)
-    c.signal("r0", signal.SIGSTOP)
+    cluster.signal("r0", signal.SIGSTOP)
     await asyncio.sleep(3.5 * LEASE)
-    c.signal("r0", signal.SIGCONT)
+    cluster.signal("r0", signal.SIGCONT)
 
 
-async def zone_cut(c) -> None:
-    ones = [n for n in c.names if c.zones[n] == ZONES[0]]
+async def zone_cut(cluster) -> None:
+    """The links between two zones hold back all data in both directions."""
+    zone = [n for n in cluster.names if cluster.zones[n] == ZONES[0]]
     await asyncio.sleep(1.5)
-    c.net.turn("hole", ones, [n for n in c.names if n not in ones])
+    cluster.net.turn("hole", zone, [n for n in cluster.names if n not in zone])
     await asyncio.sleep(2.5 * LEASE)
-    c.net.turn("ok")
+    cluster.net.turn("ok")
 
 
-async def one_way(c) -> None:
+async def one_way(cluster) -> None:
+    """The links that one relay opens hold back what it sends; data to it still passes."""
     await asyncio.sleep(1.5)
-    for (one, _), link in c.net.links.items():
-        if one == "r0":
+    for (source, _), link in cluster.net.links.items():
+        if source == "r0":
             link.turn("out")
     await asyncio.sleep(2.5 * LEASE)
-    c.net.turn("ok")
+    cluster.net.turn("ok")
 
 
-async def flapping(c) -> None:
+async def flapping(cluster) -> None:
+    """The links of one relay fail and recover again and again."""
     await asyncio.sleep(1.0)
     for i in range(12):
-        c.net.turn(("reset", "ok", "refuse", "ok")[i % 4], ["r0"], c.names[1:])
+        cluster.net.turn(("reset", "ok", "refuse", "ok")[i % 4], ["r0"], cluster.names[1:])
         await asyncio.sleep(0.4)
-    c.net.turn("ok")
+    cluster.net.turn("ok")
 
 
-async def late(c) -> None:
+async def late(cluster) -> None:
+    """All links delay data by 2 s on average, which is longer than a lease."""
     await asyncio.sleep(1.0)
-    c.net.turn("late", delay=2.0)
+    cluster.net.turn("late", delay=2.0)
     await asyncio.sleep(4.0)
-    c.net.turn("ok")
+    cluster.net.turn("ok")
 
 
-async def guard_killed_in_the_take_over(c) -> None:
-    await keeper_wiped(c)
+async def guard_killed_in_the_take_over(cluster) -> None:
+    """A second relay is killed while the shard of a wiped one is taken over."""
+    await keeper_wiped(cluster)
     await asyncio.sleep(LEASE)
-    await c.kill("r1")
+    await cluster.kill("r1")
     await asyncio.sleep(0.3)
-    await c.restart("r1")
+    await cluster.restart("r1")
 
 
-async def successor_killed(c) -> None:
-    await keeper_wiped(c)
+async def successor_killed(cluster) -> None:
+    """The relay that has taken over the shard of a wiped one is killed."""
+    await keeper_wiped(cluster)
     await asyncio.sleep(1.8 * LEASE)
-    for name in c.names[1:]:
-        if "seat.acts seat=r0" in (c.relays[name].folder / "relay.log").read_text(errors="replace"):
-            await c.kill(name)
+    for name in cluster.names[1:]:
+        if "seat.acts seat=r0" in (cluster.relays[name].folder / "relay.log").read_text(errors="replace"):
+            await cluster.kill(name)
             await asyncio.sleep(0.3)
-            await c.restart(name)
+            await cluster.restart(name)
             return
 
 
-async def rolling(c) -> None:
-    for number, name in enumerate(c.names):
+async def rolling(cluster) -> None:
+    """All relays are restarted one after the other, by SIGKILL and SIGTERM alternately."""
+    for number, name in enumerate(cluster.names):
         await asyncio.sleep(1.2)
-        await c.relays[name].kill(signal.SIGTERM if number % 2 else signal.SIGKILL)
-        await c.restart(name)
+        await cluster.relays[name].kill(signal.SIGTERM if number % 2 else signal.SIGKILL)
+        await cluster.restart(name)
 
 
-async def upgraded(c) -> None:
-    """A second process in the first one's folder takes over at the door, then its seat."""
+async def upgraded(cluster) -> None:
+    """A second process in the first one's folder takes over its clients, then its shard."""
     await asyncio.sleep(1.5)
-    heir = c.heir("r0")
-    await heir.start()
+    successor = cluster.heir("r0")
+    await successor.start()
     await asyncio.sleep(0.5)
-    await c.relays["r0"].kill(signal.SIGTERM)
-    c.relays["r0"] = heir
-
-
-async def everything(c) -> None:
-    chance, until = random.Random(c.seed), time.monotonic() + 6.0
-    while time.monotonic() < until:
-        await asyncio.sleep(chance.uniform(0.2, 0.9))
-        name, what = chance.choice(c.names), chance.randrange(6)
-        if what == 0:
-            c.net.turn(chance.choice(["hole", "late", "reset", "slow", "refuse"]), [name], c.names, delay=0.6)
-        elif what == 1:
-            c.net.turn("ok")
-        elif what == 2:
-            c.signal(name, signal.SIGSTOP)
-            await asyncio.sleep(chance.uniform(0.2, 2.0 * LEASE))
-            c.signal(name, signal.SIGCONT)
-        elif what == 3:
-            await c.kill(name)
-            await c.restart(name)
-    c.net.turn("ok")
+    await cluster.relays["r0"].kill(signal.SIGTERM)
+    cluster.relays["r0"] = successor
+
+
+async def everything(cluster) -> None:
+    """Random faults: broken links, pauses and kills."""
+    rng, deadline = random.Random(cluster.seed), time.monotonic() + 6.0
+    while time.monotonic() < deadline:
+        await asyncio.sleep(rng.uniform(0.2, 0.9))
+        name, action = rng.choice(cluster.names), rng.randrange(6)
+        if action == 0:
+            cluster.net.turn(
+                rng.choice(["hole", "late", "reset", "slow", "refuse"]), [name], cluster.names, delay=0.6
+            )
+        elif action == 1:
+            cluster.net.turn("ok")
+        elif action == 2:
+            cluster.signal(name, signal.SIGSTOP)
+            await asyncio.sleep(rng.uniform(0.2, 2.0 * LEASE))
+            cluster.signal(name, signal.SIGCONT)
+        elif action == 3:
+            await cluster.kill(name)
+            await cluster.restart(name)
+    cluster.net.turn("ok")
 
 
 STORIES = {
--- a/ryestack/lab/peers.py
+++ b/ryestack/lab/peers.py
@@ -1,5 +1,7 @@
-"""Several relays that guard each other, under load, with faults between them; judged from others' books
-alone."""
+"""Trials of several relays that replicate to each other, under load and with faults between them.
+
+Results are judged from the books of partners and platform alone.
+"""
 
 import asyncio
 import shutil
@@ -26,12 +28,12 @@
     Topic("points", "collapsible", 9.0),
     Topic("charge", "once-only", 9.0),
 ]
-WINDOW = 5.0
-DOWN, UP = 1.0, 4.5  # seconds from the first hand-in: a partner refuses, so that relays hold work
+WINDOW = 5.0  # seconds, of the collapsible topic type
+DOWN, UP = 1.0, 4.5  # seconds from the first request; a partner refuses meanwhile, so that relays hold work
 
 
 def stage(seed: int) -> Stage:
-    """One partner that is there, one that is away for some seconds."""
+    """One partner without faults, one that refuses connections for some seconds."""
     base = {"address": "127.0.0.1:0", "kind": "shop", "pace": Pace(mean=0.03)}
     rows = [Endpoint("well-a", 1, **base), Endpoint("away-a", 2, cold_time=1.0, weight=80.0, **base)]
     changes = [
@@ -43,11 +45,11 @@
 
 
 class Cluster:
-    """Relays r0, r1, ... with a link for each way between two of them."""
+    """Relays r0, r1, ... with a link for each direction between two of them."""
 
     def __init__(self, folder: Path, count: int, seed: int, alone: str = "serve"):
         self.folder, self.seed, self.alone, self.say = folder, seed, alone, []
-        self.killed: list[tuple[float, str]] = []  # when, by the wall's clock, and who
+        self.killed: list[tuple[float, str]] = []  # wall time and relay of each kill
         self.names = [f"r{i}" for i in range(count)]
         self.zones = {name: ZONES[i % len(ZONES)] for i, name in enumerate(self.names)}
         self.peers = {name: f"127.0.0.1:{free_port()}" for name in self.names}
@@ -55,6 +57,7 @@
         self.partner, self.platform = Partner(stage(seed)), None
 
     async def start(self) -> None:
+        """Starts the stand-ins, the links and all relays."""
         await self.partner.start()
         addresses = {name: place.address for name, place in self.partner.places.items()}
         self.platform = Platform(self.partner.stage, addresses)
@@ -69,74 +72,78 @@
             config["settings"]["balancers"] = len(self.names)
             config["settings"]["allowed"]["connectTimeoutMs"] = 400.0
             config["settings"]["grades"] = [
-                {**g, "windowMs": WINDOW * 1000.0} for g in config["settings"]["grades"]
+                {**grade, "windowMs": WINDOW * 1000.0} for grade in config["settings"]["grades"]
             ]
             folder = self.folder / name
             folder.mkdir(parents=True, exist_ok=True)
             operator = folder / "operator.toml"
             operator.write_text(tomli_w.dumps(self.operator(name)))
-            made = RelayProcess(config, folder, environment={"RYESTACK_OPERATOR": str(operator)})
-            self.relays[name] = made
+            process = RelayProcess(config, folder, environment={"RYESTACK_OPERATOR": str(operator)})
+            self.relays[name] = process
         await asyncio.gather(*(relay.start() for relay in self.relays.values()))
 
     def operator(self, name: str) -> dict:
-        at = {n: self.peers[n] if n == name else self.net.links[name, n].address for n in self.names}
-        relays = [{"name": n, "address": at[n], "zone": self.zones[n]} for n in self.names]
+        """The operator file of a relay; it reaches each peer through a link."""
+        addresses = {n: self.peers[n] if n == name else self.net.links[name, n].address for n in self.names}
+        relays = [{"name": n, "address": addresses[n], "zone": self.zones[n]} for n in self.names]
         peers = {"cluster": "trial", "name": name, "guards": 2, "lease": LEASE, "alone": self.alone}
         return {"format": 1, "log": {"repeat": 0.0, "level": "DEBUG"}, "peers": {**peers, "relays": relays}}
 
     def heir(self, name: str) -> RelayProcess:
-        """A second process in that relay's folder, with a second address of its own."""
-        elder = self.relays[name]
-        made = RelayProcess(elder.config, elder.folder, environment=elder.environment)
-        made.ops = f"127.0.0.1:{free_port()}"
-        return made
+        """A new process of a relay in the same folder, with its own operations address; not started."""
+        current = self.relays[name]
+        successor = RelayProcess(current.config, current.folder, environment=current.environment)
+        successor.ops = f"127.0.0.1:{free_port()}"
+        return successor
 
     def twin(self, name: str) -> RelayProcess:
-        """Another relay that calls itself that, with a folder and addresses of its own."""
+        """Another relay with the same name, with a folder and addresses of its own; not started."""
         folder = self.folder / f"{name}-twin"
         folder.mkdir()
-        told, listen = self.operator(name), f"127.0.0.1:{free_port()}"
-        mine = next(relay for relay in told["peers"]["relays"] if relay["name"] == name)
-        mine["address"] = f"127.0.0.1:{free_port()}"
+        settings, listen = self.operator(name), f"127.0.0.1:{free_port()}"
+        own_entry = next(relay for relay in settings["peers"]["relays"] if relay["name"] == name)
+        own_entry["address"] = f"127.0.0.1:{free_port()}"
         operator = folder / "operator.toml"
-        operator.write_text(tomli_w.dumps(told))
+        operator.write_text(tomli_w.dumps(settings))
         config = {**self.relays[name].config, "listen": listen}
         return RelayProcess(config, folder, environment={"RYESTACK_OPERATOR": str(operator)})
 
-    # -- what befalls it --------------------------------------------------------------------------------
+    # -- actions of the stories -------------------------------------------------------------------------
 
     async def kill(self, name: str, wipe: bool = False) -> None:
+        """Kills a relay by SIGKILL; with wipe, its state directory is emptied."""
         await self.relays[name].kill()
         self.killed.append((time.time(), name))
         if wipe:
             shutil.rmtree(self.relays[name].folder / "state")
             (self.relays[name].folder / "state").mkdir()
-        self.say.append(f"killed {name}" + (" and wiped its folder" if wipe else ""))
+        self.say.append(f"killed {name}" + (" and wiped its state directory" if wipe else ""))
 
     async def restart(self, name: str) -> None:
         await self.relays[name].start()
         self.say.append(f"started {name}")
 
     def took_over(self) -> list[float]:
-        """Seconds from each kill to the first relay that says it goes on with that one's work."""
-        found = []
-        for at, name in self.killed:
-            acts = []
+        """Seconds from each kill until a relay logs that it has taken over the killed relay's work."""
+        durations = []
+        for killed_at, name in self.killed:
+            delays = []
             for relay in self.relays.values():
                 for line in (relay.folder / "relay.log").read_text(errors="replace").splitlines():
                     if f"seat.acts seat={name} " in line and " owed=0 " not in line:
-                        when = datetime.fromisoformat(line.split(" ", 1)[0].replace("Z", "+00:00"))
-                        acts += [when.timestamp() - at] if when.timestamp() > at else []
-            found += [min(acts)] if acts else []
-        return found
+                        logged = datetime.fromisoformat(line.split(" ", 1)[0].replace("Z", "+00:00"))
+                        delays += [logged.timestamp() - killed_at] if logged.timestamp() > killed_at else []
+            durations += [min(delays)] if delays else []
+        return durations
 
     def signal(self, name: str, number: int) -> None:
+        """Sends a signal to a relay if it runs."""
         process = self.relays[name].process
         if process and process.returncode is None:
             process.send_signal(number)
 
     async def close(self) -> None:
+        """Kills all relays, also stopped ones, and closes links and stand-ins."""
         for relay in self.relays.values():
             if relay.process and relay.process.returncode is None:
                 relay.process.send_signal(signal.SIGCONT)
@@ -150,11 +157,14 @@
 async def run(
     folder: Path, story: str, seed: int, count: int = 3, rate: float = 30.0
 ) -> tuple[Judged, Cluster]:
-    """One story; what the books of partners and platform say, and the cluster it befell."""
+    """Runs one story on a new cluster; returns the judged result and the closed cluster.
+
+    count: relays; rate: requests a second.
+    """
     cluster = Cluster(folder, count, seed)
     try:
         await cluster.start()
-        await asyncio.sleep(1.3 * LEASE)  # who has just started grants nothing yet
+        await asyncio.sleep(1.3 * LEASE)  # a relay that has just started grants no lease yet
         plan = Plan(TOPICS, [1, 2], ["acme"], rate=rate, seconds=6.0, seed=seed, window=WINDOW)
         load = Load(plan, [relay.address for relay in cluster.relays.values()])
         cluster.partner.began = cluster.platform.began = time.monotonic()
@@ -169,26 +179,29 @@
             books = cluster.partner.books, cluster.platform.books
             return books[0].runs, books[1].notices, books[0].whole and books[1].whole
 
-        return await settled(load, collect, max(t.ttl for t in TOPICS) + 2.0), cluster
+        return await settled(load, collect, max(topic.ttl for topic in TOPICS) + 2.0), cluster
     finally:
         await cluster.close()
 
 
 async def many(folder: Path, seconds: float, seed: int, say: Callable[[dict], None]) -> list[dict]:
-    """Stories in turn, each with a seed and a size of its own, until the time is up; a row each."""
-    until, rows = time.monotonic() + seconds, []
-    while time.monotonic() < until or not rows:
+    """Runs the stories in turn, each with its own seed and cluster size, for a number of seconds.
+
+    A story that has begun is finished, and at least one is run. Returns a row for each; say gets it at once.
+    """
+    deadline, rows = time.monotonic() + seconds, []
+    while time.monotonic() < deadline or not rows:
         number = len(rows)
         story, count = list(STORIES)[number % len(STORIES)], (3, 5, 7)[number % 3]
-        place = folder / f"{number}"
-        told, cluster = await run(place, story, seed + number, count)
-        took = cluster.took_over()
+        story_folder = folder / f"{number}"
+        result, cluster = await run(story_folder, story, seed + number, count)
+        took_over = cluster.took_over()
         rows.append({
-            "story": story, "seed": seed + number, "relays": count, "handed": told.handed, "taken":
-            told.taken, "delivered": told.delivered, "ended": told.throttled + told.expired, "lost":
-            told.lost, "twice": told.twice, "two_ends": told.two_ends, "false_ends": told.false_ends,
-            "took_over_s": round(max(took), 2) if took else None, "broken": told.broken[:5],
+            "story": story, "seed": seed + number, "relays": count, "handed": result.handed, "taken":
+            result.taken, "delivered": result.delivered, "ended": result.throttled + result.expired, "lost":
+            result.lost, "twice": result.twice, "two_ends": result.two_ends, "false_ends": result.false_ends,
+            "took_over_s": round(max(took_over), 2) if took_over else None, "broken": result.broken[:5],
         })  # fmt: skip
         say(rows[-1])
-        shutil.rmtree(place)
+        shutil.rmtree(story_folder)
     return rows
