--- a/ryestack/lab/hollow_messages.py
+++ b/ryestack/lab/hollow_messages.py
@@ -1,4 +1,4 @@
-"""What a host of hollow relays is started with, told and answers: lines of JSON. Pure."""
+"""Messages of a host of hollow relays: its specification, commands and reports, as lines of JSON. Pure."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class HollowPlace(msgspec.Struct, frozen=True):
-    """One hollow relay; group: which table of addresses it uses."""
+    """Name and location of a hollow relay; group: the address table that it uses."""
 
     name: str
     region: str
@@ -15,9 +15,10 @@
 
 
 class Specification(msgspec.Struct, frozen=True):
-    """What a host is started with.
+    """The configuration that a host is started with.
 
-    tables: group to machine to address; book: the file that its relays' books are written to.
+    tables: machine addresses by group and machine name; book: path of the file for its relays' records.
+    hold: long-poll time in seconds.
     """
 
     cluster: str
@@ -31,42 +32,42 @@
 
 
 class Start(msgspec.Struct, frozen=True, tag="start"):
-    """Starts those of the named relays that do not run, spread over some seconds; none named: all."""
+    """Starts the named relays that are not running, spread over `over` seconds; without names: all."""
 
     names: list[str] = []
     over: float = 0.0
 
 
 class Stop(msgspec.Struct, frozen=True, tag="stop"):
-    """Stops relays at once, as a kill does; none named: all. keep: their state folders outlast it."""
+    """Stops relays at once, as a kill does; without names: all. keep: their saved state survives."""
 
     names: list[str] = []
     keep: bool = True
 
 
 class Watch(msgspec.Struct, frozen=True, tag="watch"):
-    """From now on, values of versions above this are entered in the book one by one."""
+    """From now on, each value of a version above this one is recorded."""
 
     above: int
 
 
 class Tell(msgspec.Struct, frozen=True, tag="tell"):
-    """Asks for a report alone."""
+    """Requests a report and does nothing else."""
 
 
 class Close(msgspec.Struct, frozen=True, tag="close"):
-    """Enters what each relay holds of the watched versions in the book, and stops all."""
+    """Records what each relay holds of the watched versions, then stops all relays."""
 
 
 Command = Start | Stop | Watch | Tell | Close
 
 
 class Report(msgspec.Struct, frozen=True):
-    """How a host stands.
+    """State of a host.
 
-    running: relays; broken: such whose client ended by itself; lowest: version in force at all of them;
-    entries: that they hold together; requests, failures: of clients since their starts; cpu: seconds of the
-    process; memory: bytes at its most.
+    running: number of started relays; broken: those whose client ended without being stopped; lowest: the
+    lowest version in force at any of them; entries: total that they hold; requests, failures: totals of the
+    clients since their starts; cpu: processor seconds of the process; memory: peak resident bytes.
     """
 
     running: int
--- a/ryestack/lab/scale.py
+++ b/ryestack/lab/scale.py
@@ -1,6 +1,6 @@
-"""The scale run: real relays under load beside hollow ones, control machines, faults between them, judged.
+"""The scale run: real relays under load, hollow relays and control machines under faults, checked by rules.
 
-What a run needs is worked out first (`scale_plan`); all its processes are ended by their ids at any exit.
+`scale_plan` works out a run's requirements first. On every exit, all its processes are ended by their ids.
 """
 
 import asyncio
@@ -11,32 +11,32 @@
 
 from . import hollow_messages as hollow
 from .load import figures
-from .scale_book import read_book, read_log, read_state_folder
+from .scale_book import read_log, read_records, read_state_folder
 from .scale_changes import CHANGED_DESTINATIONS, Changes, destination_key, region_of
 from .scale_fleet import CLUSTER, REPLICAS, Fleet
-from .scale_judge import Line, left_behind
-from .scale_load import Outside, served_by
+from .scale_judge import Record, left_behind
+from .scale_load import StandIns, served_by
 from .scale_operations import Operations
 from .scale_plan import ScalePlan
-from .scale_processes import Children
+from .scale_processes import ChildProcesses
 from .scale_report import ScaleResult, Window, result_of
 from .scale_scope import Scope
 from .scale_stories import STORIES, Lengths, ordinary
 from .scale_usage import runs
 from .trial import TrialFailed
 
-STEADY_RATE = 1.0  # changes a second throughout: seven times an ordinary day's at 12,000 relays
-LOAD_RATE = 4.0  # hand-ins a second at a real relay
-LOAD_DESTINATIONS = 2_000  # looked through for such as a real relay serves
-JOINS_A_SECOND = 100.0  # hollow relays that begin, while the fleet is set up
-JOINS_WITHIN = 120.0  # seconds from then until all relays have their scope
-CATCHES_UP_WITHIN = 40.0  # seconds after a story
-LOOK = 0.2
+STEADY_RATE = 1.0  # changes a second throughout: seven times an ordinary day's rate at 12,000 relays
+LOAD_RATE = 4.0  # requests a second at each real relay
+LOAD_DESTINATIONS = 2_000  # searched for those that a real relay serves
+JOINS_PER_SECOND = 100.0  # hollow relays started a second during set-up
+JOIN_TIMEOUT_S = 120.0  # from the first start until all relays have their scope
+CATCH_UP_TIMEOUT_S = 40.0  # after a story
+POLL_INTERVAL_S = 0.2
 APPLIED_EVENT = "control.applied"
 
 
 class ScaleRun:
-    """One run of a plan, made within a running loop. `say` is told how it goes, a line a step."""
+    """One run of a plan, created within a running event loop; `say` gets a line of progress for each step."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
     ):
         self.folder, self.plan, self.seed, self.say = folder, plan, seed, say
         self.lengths, self.hold = lengths, hold
-        self.children, self.outside = Children(), Outside(seed)
+        self.processes, self.stand_ins = ChildProcesses(), StandIns(seed)
         self.scope = Scope(plan, REPLICAS)
         self.fleet: Fleet | None = None
         self.changes: Changes | None = None
@@ -59,31 +59,31 @@
         self.setup: dict[str, float] = {}
 
     async def run(self, stories: list[str]) -> ScaleResult:
-        """All of it; raises TrialFailed where it could not be played."""
+        """Runs set-up, stories and checks; raises TrialFailed where one could not be carried out."""
         try:
             await self._make()
             await self._start_machines()
             await self._join()
             await self._play(stories)
-            told = await self.outside.judged()
-            alive = await self._close_books()
+            judged = await self.stand_ins.judged()
+            running = await self._close_books()
         finally:
             await self._end()
-        left = left_behind(self.children.ids, runs)
-        return result_of(self, figures(told), alive, left)
+        left = left_behind(self.processes.process_ids, runs)
+        return result_of(self, figures(judged), running, left)
 
     async def _make(self) -> None:
-        await self.outside.start()
-        self.fleet = Fleet(self.folder, self.plan, self.outside, self.hold, self.seed)
+        await self.stand_ins.start()
+        self.fleet = Fleet(self.folder, self.plan, self.stand_ins, self.hold, self.seed)
         await self.fleet.make()
-        partners = self.outside.partner_addresses
+        partners = self.stand_ins.partner_addresses
         self.changes = Changes(self.plan, self.fleet.addresses, partners, self.seed)
         await self.changes.open()
-        self.operations = Operations(self.fleet, self.children, self.changes, self.lengths, self.seed)
+        self.operations = Operations(self.fleet, self.processes, self.changes, self.lengths, self.seed)
 
     async def _start_machines(self) -> None:
         began = time.monotonic()
-        await self.operations.start_children(list(self.fleet.machines))
+        await self.operations.start_processes(list(self.fleet.machines))
         await self.operations.leader()
         self.say(f"{len(self.fleet.machines)} control machines after {time.monotonic() - began:.1f} s")
         began = time.monotonic()
@@ -93,31 +93,36 @@
 
     async def _join(self) -> None:
         began, fleet = time.monotonic(), self.fleet
-        await self.operations.start_children([*fleet.hosts, *fleet.relays, *fleet.plain])
-        await self.operations.tell_all(hollow.Tell())  # they listen now
+        await self.operations.start_processes([*fleet.hosts, *fleet.relays, *fleet.plain])
+        # All hosts read commands once they have answered.
+        await self.operations.send_to_all_hosts(hollow.Tell())
         self.operations.measure_empty_hosts()
-        await self.operations.tell_all(hollow.Start(over=len(self.operations.hollow_names) / JOINS_A_SECOND))
-        if not await self._caught_up(JOINS_WITHIN):
-            raise TrialFailed(f"not all relays had their scope within {JOINS_WITHIN:g} s: {self._laggards()}")
+        await self.operations.send_to_all_hosts(
+            hollow.Start(over=len(self.operations.hollow_names) / JOINS_PER_SECOND)
+        )
+        if not await self._caught_up(JOIN_TIMEOUT_S):
+            raise TrialFailed(
+                f"not all relays received their scope within {JOIN_TIMEOUT_S:g} s: {self._laggards()}"
+            )
         self.setup["joined_s"] = time.monotonic() - began
-        await self.operations.tell_all(hollow.Watch(self.changes.newest))
+        await self.operations.send_to_all_hosts(hollow.Watch(self.changes.newest))
         self.say(f"{len(self.plan.relays)} relays have their scope after {self.setup['joined_s']:.1f} s")
 
-    async def _caught_up(self, patience: float) -> bool:
-        """Waits until all relays have the newest version answered; False where that takes too long.
+    async def _caught_up(self, timeout: float) -> bool:
+        """Waits until all relays have the newest answered version; False on timeout.
 
-        A real relay's log tells of versions that change something in its scope: shared ones count.
+        A real relay logs only versions that change something in its scope, so it is checked for shared ones.
         """
         wanted, shared = self.changes.newest, self.changes.newest_shared
-        until = time.monotonic() + patience
-        while time.monotonic() < until:
-            reports = await self.operations.tell_all(hollow.Tell())
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
+            reports = await self.operations.send_to_all_hosts(hollow.Tell())
             if any(report.broken for report in reports):
-                raise TrialFailed("a hollow relay's client ended by itself: see the log of its host")
+                raise TrialFailed("a hollow relay's client ended unexpectedly: see the log of its host")
             hollow_reached = all(report.lowest >= wanted for report in reports)
             if hollow_reached and all(version >= shared for version in self._real_versions().values()):
                 return True
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
     def _laggards(self) -> str:
@@ -127,13 +132,13 @@
     def _real_versions(self) -> dict[str, int]:
         found = dict.fromkeys(self.operations.real_names, 0)
         for name in found:
-            for line in self._log_lines(name):
-                found[name] = line.version
+            for record in self._log_records(name):
+                found[name] = record.version
         return found
 
-    def _log_lines(self, name: str) -> Iterator[Line]:
-        clocks = time.monotonic() - time.time()
-        return read_log(self.fleet.relays[name].folder / "relay.log", name, APPLIED_EVENT, clocks)
+    def _log_records(self, name: str) -> Iterator[Record]:
+        wall_to_clock = time.monotonic() - time.time()
+        return read_log(self.fleet.relays[name].folder / "relay.log", name, APPLIED_EVENT, wall_to_clock)
 
     async def _play(self, stories: list[str]) -> None:
         steady = asyncio.ensure_future(self.changes.steady(STEADY_RATE))
@@ -151,50 +156,50 @@
         began = time.monotonic()
         await STORIES[story](self.operations)
         ended = time.monotonic()
-        whole = await self._caught_up(CATCHES_UP_WITHIN)
-        self.windows.append(Window(story, began, ended, time.monotonic(), whole))
-        caught_up = f"{'' if whole else 'NOT '}caught up {time.monotonic() - ended:.1f} s after"
-        self.say(f"{story}: {ended - began:.1f} s, {caught_up}")
+        caught_up = await self._caught_up(CATCH_UP_TIMEOUT_S)
+        self.windows.append(Window(story, began, ended, time.monotonic(), caught_up))
+        outcome = f"{'' if caught_up else 'NOT '}caught up {time.monotonic() - ended:.1f} s after"
+        self.say(f"{story}: {ended - began:.1f} s, {outcome}")
 
     def _begin_load(self, stories: list[str]) -> None:
         numbers = range(CHANGED_DESTINATIONS, min(self.plan.destinations, LOAD_DESTINATIONS))
         addresses = {place.name: self.fleet.listens[place.name] for place in self.plan.real}
         served = served_by(addresses, numbers, lambda number: self.scope.relays(number, region_of(number)))
         self.setup["relays_under_load"] = len(served)
-        seconds = CATCHES_UP_WITHIN * len(stories) + self.lengths.parted
-        self.loading = self.outside.begin(served, LOAD_RATE, seconds)
+        seconds = CATCH_UP_TIMEOUT_S * len(stories) + self.lengths.parted
+        self.loading = self.stand_ins.begin(served, LOAD_RATE, seconds)
 
     async def _close_books(self) -> set[str]:
-        """The relays that run at the end; their books, or their state folders, hold what they serve."""
-        await self._caught_up(CATCHES_UP_WITHIN)
-        reports = await self.operations.tell_all(hollow.Tell())
+        """Returns the relays that run at the end, after saving what they hold."""
+        await self._caught_up(CATCH_UP_TIMEOUT_S)
+        reports = await self.operations.send_to_all_hosts(hollow.Tell())
         if sum(report.running for report in reports) != len(self.operations.hollow_names):
-            raise TrialFailed("not all hollow relays run at the end")
-        await self.operations.tell_all(hollow.Close())
+            raise TrialFailed("not all hollow relays are running at the end")
+        await self.operations.send_to_all_hosts(hollow.Close())
         await self.operations.stop_real()
         return set(self.operations.hollow_names) | set(self.operations.real_names)
 
     async def _end(self) -> None:
-        await self.children.end_all()
+        await self.processes.end_all()
         if self.changes:
             await self.changes.close()
         if self.fleet:
-            await self.fleet.roads.close()
-        await self.outside.close()
+            await self.fleet.link_table.close()
+        await self.stand_ins.close()
 
-    # -- its books --------------------------------------------------------------------------------------
+    # -- records --------------------------------------------------------------------------------------
 
-    def lines(self) -> Iterator[Line]:
-        """All relays' books, each relay's in order of time."""
+    def records(self) -> Iterator[Record]:
+        """Yields the records of all relays, in order of time for each relay."""
         for number, places in enumerate(self.plan.hosts):
             path = self.folder / f"host{number}" / "book"
-            yield from read_book(path, [place.name for place in places])
+            yield from read_records(path, [place.name for place in places])
         for name in self.operations.real_names:
-            mine = [line for line in self.operations.lines if line.relay == name]
-            yield from sorted(chain(mine, self._log_lines(name)), key=lambda line: line.at)
+            mine = [record for record in self.operations.records if record.relay == name]
+            yield from sorted(chain(mine, self._log_records(name)), key=lambda record: record.time)
             yield from read_state_folder(self.fleet.relays[name].folder / "state", CLUSTER, name)
 
     def scope_of_key(self) -> Callable[[int], set[str]]:
-        """Digest of a changed destination's key to the relays that serve it."""
+        """Returns a function from the digest of a changed destination's key to the relays that serve it."""
         numbers = range(CHANGED_DESTINATIONS)
         return self.scope.by_digest({destination_key(n): (n, region_of(n)) for n in numbers})
--- a/ryestack/lab/scale_book.py
+++ b/ryestack/lab/scale_book.py
@@ -1,6 +1,6 @@
-"""The books of a scale run's relays: a fixed record a line, so that millions of them stay small.
+"""Record files of a scale run: fixed-size binary records, so that millions of them stay small.
 
-A host of hollow relays writes one file; a real relay's lines are read from its own log.
+Each host of hollow relays writes one file; the records of a real relay are read from its own log.
 """
 
 import struct
@@ -12,33 +12,35 @@
 import msgspec
 
 from ..store import scope_file
-from .scale_judge import Kind, Line
+from .scale_judge import Record, RecordKind
 
-RECORD = struct.Struct("<IIQdQQ")  # relay's number, kind, version, time, key, value
-READ_AT_ONCE = 4096  # records
+RECORD_FORMAT = struct.Struct("<IIQdQQ")  # number of the relay, kind, version, time, key, value
+RECORDS_PER_READ = 4096
 
 
-def digest(text: str | bytes | None) -> int:
-    """64 bits that stand for a key or a value; 0 for a deleted one."""
-    if text is None:
+def digest(line: str | bytes | None) -> int:
+    """64-bit digest of a key or a value; 0 for a deleted one."""
+    if line is None:
         return 0
-    data = text.encode() if isinstance(text, str) else text
+    data = line.encode() if isinstance(line, str) else line
     return int.from_bytes(blake2b(data, digest_size=8).digest(), "little")
 
 
 def value_digest(value: bytes | None) -> int:
-    """64 bits that stand for a JSON value, however its text is laid out; 0 for a deleted one."""
+    """64-bit digest of a JSON value, independent of its formatting and key order; 0 for a deleted one."""
     return digest(None if value is None else msgspec.json.encode(msgspec.json.decode(value), order="sorted"))
 
 
-class BookWriter:
-    """Appends lines of relays that are known by number."""
+class RecordWriter:
+    """Appends records of relays, which are identified by number."""
 
     def __init__(self, path: Path):
         self.file = open(path, "ab")  # noqa: SIM115 - closed by close()
 
-    def write(self, relay: int, kind: Kind, version: int, at: float, key: int = 0, value: int = 0) -> None:
-        self.file.write(RECORD.pack(relay, kind, version, at, key, value))
+    def write(
+        self, relay: int, kind: RecordKind, version: int, time: float, key: int = 0, value: int = 0
+    ) -> None:
+        self.file.write(RECORD_FORMAT.pack(relay, kind, version, time, key, value))
 
     def flush(self) -> None:
         self.file.flush()
@@ -47,30 +49,30 @@
         self.file.close()
 
 
-def read_book(path: Path, names: list[str]) -> Iterator[Line]:
-    """The lines of a file in the order written; names: by number. A torn last record is left out."""
+def read_records(path: Path, names: list[str]) -> Iterator[Record]:
+    """Yields the complete records of a file in the order written; names: relays by number."""
     with open(path, "rb") as file:
-        while data := file.read(RECORD.size * READ_AT_ONCE):
-            whole = len(data) - len(data) % RECORD.size
-            for number, kind, version, at, key, value in RECORD.iter_unpack(data[:whole]):
-                yield Line(names[number], Kind(kind), version, at, key, value)
+        while data := file.read(RECORD_FORMAT.size * RECORDS_PER_READ):
+            complete = len(data) - len(data) % RECORD_FORMAT.size
+            for number, kind, version, time, key, value in RECORD_FORMAT.iter_unpack(data[:complete]):
+                yield Record(names[number], RecordKind(kind), version, time, key, value)
 
 
-def read_state_folder(folder: Path, cluster: str, relay: str) -> Iterator[Line]:
-    """What a real relay's state folder says that it held at its end; nothing where that can't be read."""
+def read_state_folder(folder: Path, cluster: str, relay: str) -> Iterator[Record]:
+    """Yields what a real relay held at its end, from its state folder; nothing where that can't be read."""
     saved = scope_file.load(str(folder), cluster, relay)
     for entry in saved.kept.entries if saved else ():
-        yield Line(relay, Kind.HELD, entry.version, 0.0, digest(entry.key), value_digest(entry.value))
+        yield Record(relay, RecordKind.HELD, entry.version, 0.0, digest(entry.key), value_digest(entry.value))
 
 
-def read_log(path: Path, relay: str, event: str, wall_to_clock: float) -> Iterator[Line]:
-    """A real relay's applied versions, from its log's lines `<time> ... <event> version=N ...`.
+def read_log(path: Path, relay: str, event: str, wall_to_clock: float) -> Iterator[Record]:
+    """Yields a real relay's applied versions, from log lines of the form `<time> ... <event> version=N ...`.
 
-    wall_to_clock: added to the wall's time it gives the monotonic clock's.
+    wall_to_clock: offset in seconds from wall-clock time to the monotonic clock.
     """
-    for text in path.read_text(errors="replace").splitlines():
-        head, found, rest = text.partition(f"{event} ")
-        words = dict(word.partition("=")[::2] for word in rest.split())
-        if found and words.get("version", "").isdecimal():
-            at = datetime.fromisoformat(head.split(" ", 1)[0].replace("Z", "+00:00")).timestamp()
-            yield Line(relay, Kind.APPLIED, int(words["version"]), at + wall_to_clock)
+    for line in path.read_text(errors="replace").splitlines():
+        prefix, found, fields_text = line.partition(f"{event} ")
+        fields = dict(item.partition("=")[::2] for item in fields_text.split())
+        if found and fields.get("version", "").isdecimal():
+            time = datetime.fromisoformat(prefix.split(" ", 1)[0].replace("Z", "+00:00")).timestamp()
+            yield Record(relay, RecordKind.APPLIED, int(fields["version"]), time + wall_to_clock)
--- a/ryestack/lab/scale_fleet.py
+++ b/ryestack/lab/scale_fleet.py
@@ -1,4 +1,4 @@
-"""Puts the processes of a scale run together: folders, operator files, addresses, ways to each other."""
+"""Builds the processes of a scale run: folders, operator files, addresses and the links between them."""
 
 import random
 import socket
@@ -10,48 +10,52 @@
 from ..operator.schema import ControlMachine
 from .hollow_messages import HollowPlace, Specification
 from .scale_changes import destination_value
-from .scale_links import Roads
-from .scale_load import TOPICS, Outside
+from .scale_links import LinkTable
+from .scale_load import TOPICS, StandIns
 from .scale_plan import DESTINATIONS_PER_RELAY, Place, ScalePlan
 from .scale_processes import HostProcess, MachineProcess, ScaleRelay
 from .trial import RelayProcess, TrialFailed, platform_config
 
 CLUSTER = "scale"
 REPLICAS = 3
-LISTENED = (20_000, 32_000)  # below the ports that the system gives to outgoing connections
-TRIES = 1_000
-REAL, SAMPLE = "real", "sample"  # groups whose traffic is measured
+PORT_RANGE = (20_000, 32_000)  # below the ephemeral ports of outgoing connections
+MAX_TRIES = 1_000
+REAL, SAMPLE = "real", "sample"  # link groups whose traffic is measured
 
 
-def free_addresses(count: int, chance: random.Random) -> list[str]:
-    """Addresses on loopback, all different, free just now; raises TrialFailed where there are too few."""
+def free_addresses(count: int, rng: random.Random) -> list[str]:
+    """Returns distinct loopback addresses that are free now; raises TrialFailed where there are too few."""
     found: dict[str, None] = {}
-    for _ in range(TRIES + 4 * count):
+    for _ in range(MAX_TRIES + 4 * count):
         if len(found) == count:
             break
-        port = chance.randrange(*LISTENED)
+        port = rng.randrange(*PORT_RANGE)
         with suppress(OSError), socket.create_server(("127.0.0.1", port)):
             found[f"127.0.0.1:{port}"] = None
     if len(found) < count:
-        raise TrialFailed(f"only {len(found)} of {count} ports from {LISTENED[0]} to {LISTENED[1]} are free")
+        raise TrialFailed(
+            f"only {len(found)} of {count} ports from {PORT_RANGE[0]} to {PORT_RANGE[1]} are free"
+        )
     return list(found)
 
 
 class Fleet:
-    """All processes of a plan, made but not started."""
+    """All processes of a plan, created but not started."""
 
-    def __init__(self, folder: Path, plan: ScalePlan, outside: Outside, hold: float, seed: int):
-        self.folder, self.plan, self.outside, self.hold, self.seed = folder, plan, outside, hold, seed
-        chance = random.Random(f"{seed} ports")
+    def __init__(self, folder: Path, plan: ScalePlan, stand_ins: StandIns, hold: float, seed: int):
+        self.folder, self.plan, self.stand_ins, self.hold, self.seed = folder, plan, stand_ins, hold, seed
+        rng = random.Random(f"{seed} ports")
         names = [machine.place.name for machine in plan.machines]
         listeners = [place.name for place in plan.real] + plan.plain
-        free = free_addresses(len(names) + len(listeners), chance)
+        free = free_addresses(len(names) + len(listeners), rng)
         self.addresses = dict(zip(names, free, strict=False))
         self.listens = dict(zip(listeners, free[len(names) :], strict=True))
         regions = [machine.place.region for machine in plan.machines]
         self.faulty = names[min(2, len(names) - 1)]
         self.lost_zone = plan.machines[1].place.zone
-        self.roads = Roads(plan.machines, self.addresses, self.faulty, (regions[0], regions[1]), seed)
+        self.link_table = LinkTable(
+            plan.machines, self.addresses, self.faulty, (regions[0], regions[1]), seed
+        )
         self.machines: dict[str, MachineProcess] = {}
         self.relays: dict[str, RelayProcess] = {}
         self.plain: dict[str, RelayProcess] = {}
@@ -70,23 +74,25 @@
             self.hosts[name] = HostProcess(await self._host(name, places, sample), self.folder / name)
 
     def _sample(self) -> set[str]:
-        """As many hollow relays as there are real ones, at the like places."""
+        """As many hollow relays as there are real ones, at similar locations."""
         hollow = [place.name for host in self.plan.hosts for place in host]
         return set(sorted(hollow, key=lambda name: int(name[1:]))[: len(self.plan.real)])
 
     async def _machine(self, place: Place) -> MachineProcess:
-        table = await self.roads.table(place.name, place)
+        table = await self.link_table.address_table(place.name, place)
         operator = self._operator_file(place, "machine", table)
         config = self._config(place.name, self.addresses[place.name])
         return MachineProcess(self.addresses[place.name], config, operator.parent, operator)
 
     async def _relay(self, place: Place) -> RelayProcess:
-        operator = self._operator_file(place, "relay", await self.roads.table(REAL, place, measured=True))
+        operator = self._operator_file(
+            place, "relay", await self.link_table.address_table(REAL, place, measured=True)
+        )
         environment = {"RYESTACK_OPERATOR": str(operator)}
         return ScaleRelay(self._config(place.name), operator.parent, environment=environment)
 
     def _plain_relay(self, name: str) -> RelayProcess:
-        """Without control: as many destinations as a scope has, in a list that is never asked for again."""
+        """A relay without control: as many destinations as a scope has, in a list that is never polled."""
         folder = self._folder(name)
         operator = folder / "operator.toml"
         operator.write_text(tomli_w.dumps({"format": 1, "directory": {"source": "fixed"}}))
@@ -94,7 +100,7 @@
         rows = [
             {**endpoint, "group": number, "since_ms": 0}
             for number in numbers
-            for endpoint in destination_value(number, self.outside.partner_addresses)["endpoints"]
+            for endpoint in destination_value(number, self.stand_ins.partner_addresses)["endpoints"]
         ]
         known = {"index": 1, "snapshot": True, "endpoints": rows}
         config = {**self._config(name), "known": known}
@@ -106,7 +112,7 @@
             measured = place.name in sample
             group = f"{SAMPLE if measured else 'region'}@{place.region}"
             if group not in tables:
-                tables[group] = await self.roads.table(group.partition("@")[0], place, measured)
+                tables[group] = await self.link_table.address_table(group.partition("@")[0], place, measured)
             relays.append(HollowPlace(place.name, place.region, place.zone, group))
         return Specification(
             cluster=CLUSTER, machines=self.control_machines(self.addresses), tables=tables, relays=relays,
@@ -114,7 +120,7 @@
         )  # fmt: skip
 
     def control_machines(self, table: dict[str, str]) -> list[ControlMachine]:
-        """All machines at the addresses that one of the fleet reaches them by."""
+        """All control machines at the addresses in a table, which one member of the fleet uses."""
         return [
             ControlMachine(
                 name=machine.place.name, address=table[machine.place.name], region=machine.place.region,
@@ -129,7 +135,7 @@
         return folder
 
     def _config(self, name: str, listen: str | None = None) -> dict:
-        platform = self.outside.platform
+        platform = self.stand_ins.platform
         address = listen or self.listens[name]
         config = platform_config(address, platform.address, platform.listing(), TOPICS, self.seed)
         return {**config, "name": name}
--- a/ryestack/lab/scale_judge.py
+++ b/ryestack/lab/scale_judge.py
@@ -1,6 +1,6 @@
-"""Judges a scale run from its books: what was changed, what each relay had in force and when. Pure.
+"""Checks a scale run from its records: which changes were made, what each relay had in force and when. Pure.
 
-Times are seconds of one monotonic clock, the same for all processes of a computer.
+Times are seconds of one monotonic clock, which all processes of a computer share.
 """
 
 import enum
@@ -10,34 +10,34 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-MOST_LINES = 20  # of faults of one kind that are told; the count is of all
+MAX_FAULT_LINES = 20  # faults of one kind that are listed; all are counted
 
 
-class Kind(enum.IntEnum):
-    """What a relay's book has a line of."""
+class RecordKind(enum.IntEnum):
+    """The kinds of event that are recorded of a relay."""
 
     STARTED = 1
     STOPPED = 2
-    APPLIED = 3  # a version came in force
-    ENTRY = 4  # with it, the newest value of a key
-    HELD = 5  # at the end of the run: the value of a key that the relay serves
+    APPLIED = 3  # a version came into force
+    ENTRY = 4  # newest value of a key, applied with that version
+    HELD = 5  # value of a key that the relay holds at the end of the run
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One line of a relay's book; key and value (digests) are set for ENTRY and HELD alone."""
+class Record:
+    """One recorded event of a relay; key and value (digests) are set for ENTRY and HELD only."""
 
     relay: str
-    kind: Kind
+    kind: RecordKind
     version: int
-    at: float
+    time: float
     key: int = 0
     value: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change as it was handed in and answered; version 0: never answered, it may hold or not."""
+    """A change as it was requested and answered; version 0: never answered, so it may be in force or not."""
 
     key: int
     value: int
@@ -49,73 +49,74 @@
 
 @dataclass(slots=True)
 class Faults:
-    """How often one rule was broken, and the first cases."""
+    """Number of violations of one rule, and descriptions of the first ones."""
 
     count: int = 0
     lines: list[str] = field(default_factory=list)
 
-    def add(self, line: str) -> None:
+    def add(self, text: str) -> None:
         self.count += 1
-        if len(self.lines) < MOST_LINES:
-            self.lines.append(line)
+        if len(self.lines) < MAX_FAULT_LINES:
+            self.lines.append(text)
 
 
-def older_after_newer(lines: Iterable[Line]) -> Faults:
-    """Versions and values that went back, within a relay's life and over its restarts.
+def older_after_newer(records: Iterable[Record]) -> Faults:
+    """Finds versions and values that went back, also across a relay's restarts.
 
-    lines: of each relay in order of time.
+    records: in order of time for each relay.
     """
     faults, versions, keys = Faults(), {}, {}
-    for line in lines:
-        if line.kind is Kind.APPLIED:
-            if line.version < versions.get(line.relay, 0):
+    for record in records:
+        if record.kind is RecordKind.APPLIED:
+            if record.version < versions.get(record.relay, 0):
                 faults.add(
-                    f"{line.relay} at {line.at:.3f}: version {line.version} after {versions[line.relay]}"
+                    f"{record.relay} at {record.time:.3f}: "
+                    f"version {record.version} after {versions[record.relay]}"
                 )
-            versions[line.relay] = max(line.version, versions.get(line.relay, 0))
-        elif line.kind in (Kind.ENTRY, Kind.HELD):
-            place = (line.relay, line.key)
-            if line.version < keys.get(place, 0):
-                faults.add(f"{_about(line)} of key {line.key:x}, after {keys[place]}")
-            keys[place] = max(line.version, keys.get(place, 0))
+            versions[record.relay] = max(record.version, versions.get(record.relay, 0))
+        elif record.kind in (RecordKind.ENTRY, RecordKind.HELD):
+            relay_and_key = (record.relay, record.key)
+            if record.version < keys.get(relay_and_key, 0):
+                faults.add(f"{_about(record)} of key {record.key:x}, after {keys[relay_and_key]}")
+            keys[relay_and_key] = max(record.version, keys.get(relay_and_key, 0))
     return faults
 
 
-def _about(line: Line) -> str:
-    return f"{line.relay} at {line.at:.3f}: version {line.version}"
+def _about(record: Record) -> str:
+    return f"{record.relay} at {record.time:.3f}: version {record.version}"
 
 
 def lost_changes(
-    changes: Iterable[Change], lines: Iterable[Line], alive: set[str], scope: Callable[[int], set[str]]
+    changes: Iterable[Change], records: Iterable[Record], alive: set[str], scope: Callable[[int], set[str]]
 ) -> Faults:
-    """Answered changes whose value a relay in whose scope they are does not hold at the end.
+    """Finds answered changes that a relay in their scope does not hold at the end.
 
-    alive: relays at the end; scope(key): the relays that serve a key that is not shared.
+    alive: relays that run at the end; scope(key): the relays that serve a key that is not shared.
     """
     newest: dict[int, Change] = {}
-    doubtful: defaultdict[int, set[int]] = defaultdict(set)  # values that were never answered may hold
+    doubtful: defaultdict[int, set[int]] = defaultdict(set)  # unanswered values, which may be in force
     for change in changes:
         if change.version == 0:
             doubtful[change.key].add(change.value)
         elif change.version > (newest[change.key].version if change.key in newest else 0):
             newest[change.key] = change
-    held = {(line.relay, line.key): line for line in lines if line.kind is Kind.HELD}
+    held = {(record.relay, record.key): record for record in records if record.kind is RecordKind.HELD}
     faults = Faults()
     for key, change in newest.items():
         for relay in sorted(alive if change.shared else alive & scope(key)):
-            line = held.get((relay, key))
-            if line is None:
-                faults.add(f"{relay}: has nothing of key {key:x}, changed by version {change.version}")
-            elif line.value != change.value and line.value not in doubtful[key]:
-                faults.add(f"{relay}: holds version {line.version} of key {key:x}, not {change.version}")
+            record = held.get((relay, key))
+            if record is None:
+                faults.add(f"{relay}: has no value of key {key:x}, changed by version {change.version}")
+            elif record.value != change.value and record.value not in doubtful[key]:
+                faults.add(f"{relay}: holds version {record.version} of key {key:x}, not {change.version}")
     return faults
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """When a change was in force everywhere, in seconds from its answer; None: never.
+    """Seconds from a change's answer until it was in force at all relays concerned; None: never.
 
-    slowest: the relay that had it last; relays: how many were waited for.
+    slowest: the last relay to have it; relays: how many were waited for.
     """
 
     change: Change
@@ -125,72 +126,74 @@
 
 
 def in_force(
-    changes: Iterable[Change], lines: Iterable[Line], scope: Callable[[int], set[str]]
+    changes: Iterable[Change], records: Iterable[Record], scope: Callable[[int], set[str]]
 ) -> list[InForce]:
-    """Of each answered change, over the relays in its scope that ran from its answer until they had it.
+    """Measures each answered change over the relays in its scope that ran from its answer until they had it.
 
-    A relay that stops before it has a change is not waited for: its restart is told by `caught_up`.
+    A relay that stops before it has a change is not waited for: `caught_up` measures its restart.
     """
-    lives = _lives(lines)
-    return [_in_force(change, lives, scope) for change in changes if change.version]
+    sessions = _sessions(records)
+    return [_in_force(change, sessions, scope) for change in changes if change.version]
 
 
-def caught_up(changes: Iterable[Change], lines: Iterable[Line]) -> list[tuple[float, float]]:
-    """Each start of a relay but its first: when, and seconds until it had what all share and was answered
-    before it.
+def caught_up(changes: Iterable[Change], records: Iterable[Record]) -> list[tuple[float, float]]:
+    """Returns each restart of a relay: its time, and the seconds until the relay had all shared changes that
+    had been answered before it.
 
-    Starts of relays that never got so far are left out: a run that ends with such is not caught up.
+    Restarts that never got that far are left out: a run that ends with one has not caught up.
     """
     answered = [(change.answered, change.version) for change in changes if change.version and change.shared]
     found = []
-    for lives in _lives(lines).values():
-        for life in lives[1:]:
-            wanted = max((version for at, version in answered if at <= life.began), default=0)
-            if (reached := life.reached(wanted)) is not None:
-                found.append((life.began, max(0.0, reached - life.began)))
+    for sessions in _sessions(records).values():
+        for session in sessions[1:]:
+            wanted = max((version for time, version in answered if time <= session.began), default=0)
+            if (reached := session.reached(wanted)) is not None:
+                found.append((session.began, max(0.0, reached - session.began)))
     return found
 
 
 @dataclass(slots=True)
-class _Life:
-    """One process, or one start of a hollow relay: when each version came in force."""
+class _Session:
+    """One run of a relay, from start to stop: when each version came into force."""
 
     began: float
     ended: float = float("inf")
     times: array = field(default_factory=lambda: array("d"))
     versions: array = field(default_factory=lambda: array("Q"))
 
-    def applied(self, at: float, version: int) -> None:
+    def applied(self, time: float, version: int) -> None:
         if not self.versions or version > self.versions[-1]:
-            self.times.append(at)
+            self.times.append(time)
             self.versions.append(version)
 
     def reached(self, version: int) -> float | None:
-        """When it first had the version or a newer one."""
-        place = bisect_left(self.versions, version)
-        return self.times[place] if place < len(self.times) else None
+        """Time at which the version or a newer one was first in force; None: never."""
+        index = bisect_left(self.versions, version)
+        return self.times[index] if index < len(self.times) else None
 
 
-def _lives(lines: Iterable[Line]) -> dict[str, list[_Life]]:
-    lives: defaultdict[str, list[_Life]] = defaultdict(list)
-    for line in lines:
-        if line.kind is Kind.STARTED:
-            lives[line.relay].append(_Life(line.at))
-        elif line.kind is Kind.STOPPED and lives[line.relay]:
-            lives[line.relay][-1].ended = line.at
-        elif line.kind is Kind.APPLIED and lives[line.relay]:
-            lives[line.relay][-1].applied(line.at, line.version)
-    return lives
+def _sessions(records: Iterable[Record]) -> dict[str, list[_Session]]:
+    sessions: defaultdict[str, list[_Session]] = defaultdict(list)
+    for record in records:
+        if record.kind is RecordKind.STARTED:
+            sessions[record.relay].append(_Session(record.time))
+        elif record.kind is RecordKind.STOPPED and sessions[record.relay]:
+            sessions[record.relay][-1].ended = record.time
+        elif record.kind is RecordKind.APPLIED and sessions[record.relay]:
+            sessions[record.relay][-1].applied(record.time, record.version)
+    return sessions
 
 
-def _in_force(change: Change, lives: dict[str, list[_Life]], scope) -> InForce:
+def _in_force(change: Change, sessions: dict[str, list[_Session]], scope) -> InForce:
     worst, slowest, waited = 0.0, "", 0
-    for relay in lives if change.shared else lives.keys() & scope(change.key):
-        life = next((life for life in lives[relay] if life.began <= change.answered < life.ended), None)
-        if life is None:
+    for relay in sessions if change.shared else sessions.keys() & scope(change.key):
+        session = next(
+            (session for session in sessions[relay] if session.began <= change.answered < session.ended), None
+        )
+        if session is None:
             continue
-        reached = life.reached(change.version)
-        if reached is None and life.ended == float("inf"):
+        reached = session.reached(change.version)
+        if reached is None and session.ended == float("inf"):
             return InForce(change, None, relay, waited)
         if reached is None:
             continue
@@ -200,16 +203,16 @@
     return InForce(change, worst, slowest, waited)
 
 
-def left_behind(children: dict[str, int], runs: Callable[[int], bool]) -> Faults:
-    """Children (name to process id) that still run after the end."""
+def left_behind(processes: dict[str, int], runs: Callable[[int], bool]) -> Faults:
+    """Finds child processes (name to process id) that still run after the end."""
     faults = Faults()
-    for name, process_id in children.items():
+    for name, process_id in processes.items():
         if runs(process_id):
             faults.add(f"{name}: process {process_id} still runs")
     return faults
 
 
-def percentile(values: list[float], part: float) -> float | None:
-    """The value below which part (0 to 1) of all lie; None of none."""
+def percentile(values: list[float], fraction: float) -> float | None:
+    """The value below which the fraction (0 to 1) of all values lies; None without values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else None
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else None
--- a/ryestack/lab/scale_load.py
+++ b/ryestack/lab/scale_load.py
@@ -1,4 +1,4 @@
-"""Hand-ins of a scale run: to each real relay notifications of destinations that it serves; one judge."""
+"""Load of a scale run: notifications for destinations that each real relay serves, and their check."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -15,21 +15,21 @@
     Topic("points", "collapsible", 12.0),
     Topic("charge", "once-only", 12.0),
 ]
-WINDOW = 6.0  # seconds, of the collapsible topic type
+WINDOW = 6.0  # seconds in which notifications of the collapsible topic type collapse
 PARTNER_ENDPOINTS = 12
-SETTLES_WITHIN = 3.0  # seconds past the longest time to live
+SETTLE_MARGIN_S = 3.0  # past the longest time to live
 
 
 def stage(seed: int) -> Stage:
-    """Endpoints that many destinations share: each listens at one address."""
+    """Partner endpoints shared by many destinations, each at one address."""
     base = {"address": "127.0.0.1:0", "kind": "shop", "pace": Pace(mean=0.03), "slots": 64}
     rows = [Endpoint(f"partner{n}", n, **base) for n in range(PARTNER_ENDPOINTS)]
     platform = PlatformStage("127.0.0.1:0", "127.0.0.1:0")
     return Stage(endpoint=rows, platform=platform, control="127.0.0.1:0", seed=seed)
 
 
-class Outside:
-    """Partners and platform, with their books, and the load; made and used within one running loop."""
+class StandIns:
+    """Stand-ins for partners and platform, and the load; created and used within one running event loop."""
 
     def __init__(self, seed: int):
         self.seed, self.partner, self.platform = seed, Partner(stage(seed)), None
@@ -50,7 +50,7 @@
         return [one for load in self.loads for one in load.handed]
 
     def begin(self, served: dict[str, list[int]], rate: float, seconds: float) -> list[asyncio.Task]:
-        """A load at each relay (its address to destinations); rate: hand-ins a second at one."""
+        """Starts a load at each relay (destinations by address); rate: requests a second at each."""
         for number, (address, destinations) in enumerate(served.items()):
             plan = Plan(
                 TOPICS, destinations, ["acme"], rate=rate, seconds=seconds, seed=self.seed * 1000 + number,
@@ -60,8 +60,10 @@
         return [asyncio.ensure_future(load.run()) for load in self.loads]
 
     async def judged(self) -> Judged:
-        """Waits until each taken notification has its end, or its time is up."""
-        return await settled(_Together(self.handed), self._books, max(t.ttl for t in TOPICS) + SETTLES_WITHIN)
+        """Waits until each accepted notification has its outcome or its time has passed, then checks them."""
+        return await settled(
+            _CombinedLoads(self.handed), self._books, max(t.ttl for t in TOPICS) + SETTLE_MARGIN_S
+        )
 
     async def _books(self):
         books = self.partner.books, self.platform.books
@@ -73,8 +75,8 @@
             await self.platform.close()
 
 
-class _Together:
-    """Several loads as the judge reads one."""
+class _CombinedLoads:
+    """Several loads combined into the form of one."""
 
     def __init__(self, handed: list[Handed]):
         self.handed, self.plan = handed, Plan(TOPICS, [], window=WINDOW)
@@ -83,7 +85,7 @@
 def served_by(
     relays: dict[str, str], destinations: Iterable[int], relays_of: Callable[[int], set[str]]
 ) -> dict[str, list[int]]:
-    """Address of each relay (relays: name to address) to those of the destinations that it serves."""
+    """Maps each relay's address to those of the destinations that it serves; relays: name to address."""
     served: dict[str, list[int]] = {}
     for number in destinations:
         for name in relays_of(number) & relays.keys():
--- a/ryestack/lab/scale_plan.py
+++ b/ryestack/lab/scale_plan.py
@@ -1,6 +1,6 @@
-"""What a scale run needs of the machine, worked out before anything is started. Pure.
+"""Plan of a scale run and what it needs of the computer, worked out before anything is started. Pure.
 
-Sizes are bytes. The costs are measured ones, rounded up; `docs/lab.md` says how.
+Sizes are bytes. The costs are measured values, rounded up; `docs/lab.md` describes the measurement.
 """
 
 import math
@@ -11,41 +11,43 @@
 ZONES_IN_REGION = (3, 3, 2, 2, 2, 2, 2)  # 16 in all
 DESTINATIONS_PER_RELAY = 72  # 860,000 destinations over 12,000 relays
 RELAYS_PER_MACHINE = 600
-FEWEST_MACHINES, MOST_MACHINES = 3, 20
-VOTERS_OF_FEW, VOTERS_OF_MANY = 3, 5
+MIN_MACHINES, MAX_MACHINES = 3, 20
+VOTERS_OF_SMALL_CLUSTER, VOTERS_OF_LARGE_CLUSTER = 3, 5
 RELAYS_PER_HOST = 400
-MOST_PROCESSES = 200
-MOST_RELAYS = 12_000
-MEMORY_PART = 0.5  # of the computer's memory
+MAX_PROCESSES = 200
+MAX_RELAYS = 12_000
+MEMORY_FRACTION = 0.5  # of the computer's memory that a run may use
 
 MEGABYTE = 1_000_000
 HOST_MEMORY = 55 * MEGABYTE
-HOLLOW_MEMORY = 220_000  # a hollow relay: its client, its connection at both ends, its scope
+HOLLOW_MEMORY = 220_000  # its client, both ends of its connection, its scope
 REAL_MEMORY = 45 * MEGABYTE
 MACHINE_MEMORY = 120 * MEGABYTE
 DESTINATION_MEMORY = 550  # at each control machine
 OWN_MEMORY = 300 * MEGABYTE  # of the run itself: links, load, books
 OWN_DESCRIPTORS = 300
-REAL_DESCRIPTORS = 2  # links that the run holds open for each relay that is measured or cut off
+REAL_DESCRIPTORS = (
+    2  # link descriptors in the run's own process for each relay that is measured or partitioned
+)
 
 
 class DoesNotFit(Exception):
-    """The run does not fit into this computer; the text has a line a reason."""
+    """The run needs more than this computer has; the message has one line for each reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What there is: memory (bytes), descriptors a process, ports of outgoing connections, processes."""
+    """What is available: memory (bytes), descriptors per process, ephemeral ports, processes."""
 
     memory: int
     descriptors: int
     ports: int
-    processes: int = MOST_PROCESSES
+    processes: int = MAX_PROCESSES
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a relay or a machine stands."""
+    """Name and location of a relay or a control machine."""
 
     name: str
     region: str
@@ -62,7 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalePlan:
-    """Who takes part: real relays, relays without control to compare them with, hollow ones, machines."""
+    """Members of a run: real relays, hollow relays by host, control machines.
+
+    plain: names of relays without control, for comparison.
+    """
 
     real: list[Place]
     plain: list[str]
@@ -73,33 +78,34 @@
 
     @property
     def relays(self) -> list[Place]:
-        """Real and hollow ones."""
+        """Real and hollow relays."""
         return self.real + [place for host in self.hosts for place in host]
 
 
 def place(prefix: str, number: int) -> Place:
-    """Places are dealt in turn: over the regions, then over the zones of each."""
+    """Assigns locations round-robin: over the regions, then over the zones of each."""
     region = number % len(REGIONS)
     zone = number // len(REGIONS) % ZONES_IN_REGION[region]
     return Place(f"{prefix}{number}", REGIONS[region], f"{REGIONS[region]}-{zone}")
 
 
 def machine_count(relays: int) -> int:
-    return min(MOST_MACHINES, max(FEWEST_MACHINES, math.ceil(relays / RELAYS_PER_MACHINE)))
+    """Number of control machines for so many relays."""
+    return min(MAX_MACHINES, max(MIN_MACHINES, math.ceil(relays / RELAYS_PER_MACHINE)))
 
 
 def make_plan(relays: int, real: int, plain: int, limits: Limits) -> ScalePlan:
-    """The plan for so many relays, `real` of them processes; raises DoesNotFit.
+    """Returns the plan for `relays` relays, `real` of them real processes; raises DoesNotFit.
 
-    plain: further relays without control, whose processor time is what the others' is compared with.
+    plain: further relays without control, the baseline for the processor time of the others.
     """
-    if not 0 <= real <= relays <= MOST_RELAYS:
-        raise DoesNotFit(f"{relays} relays, {real} real: at most {MOST_RELAYS}, no more real ones than all")
+    if not 0 <= real <= relays <= MAX_RELAYS:
+        raise DoesNotFit(f"{relays} relays, {real} real: at most {MAX_RELAYS}, and real at most the total")
     places = [place("r", number) for number in range(relays)]
     hollow = places[real:]
     host_count = math.ceil(len(hollow) / RELAYS_PER_HOST)
     machines = machine_count(relays)
-    voters = VOTERS_OF_MANY if machines >= VOTERS_OF_MANY else VOTERS_OF_FEW
+    voters = VOTERS_OF_LARGE_CLUSTER if machines >= VOTERS_OF_LARGE_CLUSTER else VOTERS_OF_SMALL_CLUSTER
     made = ScalePlan(
         real=places[:real],
         plain=[f"plain{number}" for number in range(plain)],
@@ -108,13 +114,13 @@
         destinations=DESTINATIONS_PER_RELAY * relays,
     )
     made.needs.update(needs_of(made))
-    if reasons := reasons_against(made.needs, limits):
+    if reasons := exceeded_limits(made.needs, limits):
         raise DoesNotFit("\n".join(reasons))
     return made
 
 
 def needs_of(plan: ScalePlan) -> dict[str, int]:
-    """Memory of all processes; descriptors and ports of who needs most of them; processes."""
+    """Total memory, maximum descriptors and ports of any process, and the number of processes."""
     relays, machines = len(plan.relays), len(plan.machines)
     hollow = relays - len(plan.real)
     memory = (
@@ -124,7 +130,7 @@
         + (len(plan.real) + len(plan.plain)) * REAL_MEMORY
         + machines * (MACHINE_MEMORY + plan.destinations * DESTINATION_MEMORY)
     )
-    at_machine = 2 * math.ceil(relays / machines)  # twice its part, when others are gone
+    at_machine = 2 * math.ceil(relays / machines)  # twice its share, for when other machines are down
     at_host = max((len(host) for host in plan.hosts), default=0)
     through_links = 2 * (
         2 * len(plan.real) + math.ceil(relays / machines) + 2 * math.ceil(relays / len(REGIONS))
@@ -132,26 +138,26 @@
     return {
         "memory": memory,
         "descriptors": OWN_DESCRIPTORS + max(at_machine, 2 * at_host, through_links),
-        "ports": 2 * at_machine,  # to one address; a closed connection holds its port for a while
+        "ports": 2 * at_machine,  # to one address; a closed connection keeps its port for a while (TIME_WAIT)
         "processes": 1 + len(plan.hosts) + len(plan.real) + len(plan.plain) + machines,
     }
 
 
-def reasons_against(needs: dict[str, int], limits: Limits) -> list[str]:
-    """A line for each need that goes beyond its limit."""
+def exceeded_limits(needs: dict[str, int], limits: Limits) -> list[str]:
+    """A line for each need that exceeds its limit."""
     found = {
-        "memory": (needs["memory"], int(limits.memory * MEMORY_PART), "bytes of memory"),
+        "memory": (needs["memory"], int(limits.memory * MEMORY_FRACTION), "bytes of memory"),
         "descriptors": (needs["descriptors"], limits.descriptors, "descriptors in one process"),
         "ports": (needs["ports"], limits.ports, "ports for connections to one address"),
         "processes": (needs["processes"], limits.processes, "processes"),
     }
     return [
-        f"needs {need:,} {what}, {there:,} allowed" for need, there, what in found.values() if need > there
+        f"needs {need:,} {what}, {limit:,} allowed" for need, limit, what in found.values() if need > limit
     ]
 
 
-def largest(real: int, plain: int, limits: Limits, step: int = 100) -> int:
-    """The largest size, in steps, that fits; 0 if none does."""
+def largest_fitting(real: int, plain: int, limits: Limits, step: int = 100) -> int:
+    """The largest number of relays, in steps, that fits; 0 if none does."""
 
     def refused(steps: int) -> bool:
         try:
@@ -160,5 +166,5 @@
             return True
         return False
 
-    sizes = range(1, MOST_RELAYS // step + 1)
+    sizes = range(1, MAX_RELAYS // step + 1)
     return step * bisect_left(sizes, True, key=refused)
--- a/ryestack/lab/scale_plots.py
+++ b/ryestack/lab/scale_plots.py
@@ -1,6 +1,7 @@
-"""Plots of scale runs by size: `python -m ryestack.lab.scale_plots FOLDER` reads FOLDER/scale.json, a list.
+"""Plots of scale runs by size: `python -m ryestack.lab.scale_plots FOLDER`.
 
-It writes scale-force.png, scale-traffic.png, scale-cpu.png and scale-memory.png beside it.
+Reads FOLDER/scale.json, a list of results; writes scale-force.png, scale-traffic.png,
+scale-cpu.png and scale-memory.png beside it.
 """
 
 import sys
@@ -19,12 +20,12 @@
 
 
 def rows_of(results: list[ScaleResult]) -> dict[str, tuple[Rows, str]]:
-    """Plot to its curves, each point as (value, low, high), and the unit."""
+    """Maps each plot to its curves, with points as (value, low, high), and its unit."""
     force: Rows = {}
     for story in SHOWN_STORIES:
-        told = [next((s for s in result.stories if s.story == story), None) for result in results]
-        if all(one is not None and one.shared.worst is not None for one in told):
-            force[f"{story}: p50 to worst"] = [(s.shared.p50, s.shared.p50, s.shared.worst) for s in told]
+        in_story = [next((s for s in result.stories if s.story == story), None) for result in results]
+        if all(one is not None and one.shared.worst is not None for one in in_story):
+            force[f"{story}: p50 to worst"] = [(s.shared.p50, s.shared.p50, s.shared.worst) for s in in_story]
     force["allowed"] = [_point(SECONDS_ALLOWED) for _ in results]
     figures = {
         "force": (force, "seconds until in force at all relays"),
--- a/ryestack/lab/scale_processes.py
+++ b/ryestack/lab/scale_processes.py
@@ -1,7 +1,7 @@
-"""The processes of a scale run: control machines, hosts of hollow relays, and the register that ends all.
+"""Processes of a scale run: control machines, hosts of hollow relays, and the registry that ends them all.
 
-Real relays are `lab.trial.RelayProcess`. Each child has a session of its own, so that a signal to the run
-reaches none of them; the register ends them by their ids.
+Real relays are `lab.trial.RelayProcess`. Each child has its own session, so that a signal to the run reaches
+none of them; the registry ends them by their ids.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from .scale_usage import runs
 from .trial import RelayProcess, TrialFailed
 
-ENDS_WITHIN = 5.0  # seconds that a child may take to end by SIGTERM
-AT_ONCE = 4  # processes that start side by side
-READY_WITHIN = 40.0  # seconds that a child may take to serve on a busy computer
-ANSWERS_WITHIN = 200.0  # seconds for a host's answer to a command
-LOOK = 0.05
+TERMINATION_TIMEOUT_S = 5.0  # for a child to exit after SIGTERM
+CONCURRENT_STARTS = 4  # processes
+READY_TIMEOUT_S = 40.0  # for a child to become healthy on a busy computer
+COMMAND_TIMEOUT_S = 200.0  # for a host's answer to a command
+POLL_INTERVAL_S = 0.05
 
 
 class MachineProcess(RelayProcess):
-    """A control machine: it is there once it answers at its own address."""
+    """A control machine; it is ready once it answers at its own address."""
 
-    ready_within = READY_WITHIN
+    ready_within = READY_TIMEOUT_S
 
     def __init__(self, address: str, config: dict, folder: Path, operator: Path):
         super().__init__(config, folder, environment={"RYESTACK_OPERATOR": str(operator)})
@@ -41,7 +41,7 @@
         return await self.ask("GET", self.control, "/control/status") == 200
 
     async def status(self) -> dict | None:
-        """What it tells of itself; None where it does not answer."""
+        """Returns its status; None where it does not answer."""
         with suppress(aiohttp.ClientError, OSError, TimeoutError, ValueError):
             limit = aiohttp.ClientTimeout(total=2.0)
             async with aiohttp.request(
@@ -52,17 +52,17 @@
 
 
 class ScaleRelay(RelayProcess):
-    """A real relay, which has to fetch its scope from busy machines before it serves."""
+    """A real relay; its start-up timeout is longer, since it first fetches its scope from busy machines."""
 
-    ready_within = READY_WITHIN
+    ready_within = READY_TIMEOUT_S
 
 
 class HostProcess:
-    """A host of hollow relays, told by lines of JSON on its standard input, answering on its output."""
+    """A host of hollow relays: lines of JSON, commands on standard input, answers on standard output."""
 
     def __init__(self, specification: hollow.Specification, folder: Path):
         self.specification, self.folder, self.process = specification, folder, None
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
         folder.mkdir(parents=True, exist_ok=True)
 
     async def start(self) -> None:
@@ -75,10 +75,10 @@
             )  # fmt: skip
 
     async def ask(self, command: hollow.Command) -> hollow.Report:
-        """Raises TrialFailed where the host is gone or does not answer."""
-        async with self.turn:
+        """Sends a command and returns the answer; raises TrialFailed where the host doesn't answer."""
+        async with self.lock:
             try:
-                async with asyncio.timeout(ANSWERS_WITHIN):
+                async with asyncio.timeout(COMMAND_TIMEOUT_S):
                     self.process.stdin.write(msgspec.json.encode(command) + b"\n")
                     await self.process.stdin.drain()
                     line = await self.process.stdout.readline()
@@ -89,22 +89,23 @@
                 ) from None
 
     def tail(self) -> str:
+        """The last lines of the host's log."""
         return "\n".join((self.folder / "host.log").read_text(errors="replace").splitlines()[-8:])
 
 
-class Children:
-    """Every process that the run started, by name and id, also those that were started anew."""
+class ChildProcesses:
+    """Registry of every process that the run started, by name and id, including restarted ones."""
 
     def __init__(self):
         self.started: dict[str, object] = {}
-        self.ids: dict[str, int] = {}
+        self.process_ids: dict[str, int] = {}
 
     async def start(self, named: Iterable[tuple[str, object]]) -> None:
-        """Starts processes that have `start()` and `.process`, a few side by side."""
-        turn = asyncio.Semaphore(AT_ONCE)
+        """Starts processes that have `start()` and `.process`, a few at a time."""
+        slots = asyncio.Semaphore(CONCURRENT_STARTS)
 
         async def one(name: str, child) -> None:
-            async with turn:
+            async with slots:
                 await self.start_one(name, child)
 
         async with asyncio.TaskGroup() as group:
@@ -117,7 +118,7 @@
             await child.start()
         finally:
             if child.process is not None:
-                self.ids[f"{name}#{child.process.pid}"] = child.process.pid
+                self.process_ids[f"{name}#{child.process.pid}"] = child.process.pid
 
     def process_id(self, name: str) -> int:
         return self.started[name].process.pid
@@ -133,14 +134,14 @@
         await self.started[name].process.wait()
 
     async def end_all(self) -> None:
-        """SIGCONT and SIGTERM to each, SIGKILL to what is left a little later; by id, and waited for."""
+        """Sends SIGCONT and SIGTERM to all, SIGKILL to those still running later; waits for their exit."""
         for name in self.started:
             if self.started[name].process is not None:
                 self.signal(name, signal.SIGCONT)
                 self.signal(name, signal.SIGTERM)
-        until = time.monotonic() + ENDS_WITHIN
-        while time.monotonic() < until and any(runs(number) for number in self.ids.values()):
-            await asyncio.sleep(LOOK)
+        deadline = time.monotonic() + TERMINATION_TIMEOUT_S
+        while time.monotonic() < deadline and any(runs(number) for number in self.process_ids.values()):
+            await asyncio.sleep(POLL_INTERVAL_S)
         for name, child in self.started.items():
             if child.process is not None:
                 self.signal(name, signal.SIGKILL)
@@ -148,7 +149,7 @@
 
 
 def write_json(path: Path, value) -> None:
-    """A file that is whole or not there at all."""
-    made = path.with_suffix(".part")
-    made.write_text(json.dumps(value, indent=1) + "\n")
-    os.replace(made, path)
+    """Writes a JSON file atomically: it is complete or absent."""
+    partial = path.with_suffix(".part")
+    partial.write_text(json.dumps(value, indent=1) + "\n")
+    os.replace(partial, path)
--- a/ryestack/lab/scale_report.py
+++ b/ryestack/lab/scale_report.py
@@ -19,24 +19,24 @@
 from .scale_links import Traffic
 from .scale_usage import Usage
 
-AGREES_WITHIN = 0.15  # of the real relays' figure, else the hollow one is unproven
+AGREEMENT_TOLERANCE = 0.15  # of the real relays' figure; beyond it the hollow figure is unproven
 NOTIFICATION_RULES = ("lost", "twice", "two_ends", "false_ends", "after_its_end", "late")
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A story: when it began and ended, until when all were waited for, and whether all had caught up."""
+    """Times of a story: began, ended, end of the wait for all relays (settled), and whether all caught up."""
 
     story: str
     began: float
     ended: float
     settled: float
-    whole: bool
+    caught_up: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """Two looks at all processes and measured links, so many seconds apart."""
+class Measurement:
+    """Two samples of all processes and measured links, `seconds` apart."""
 
     seconds: float
     before: dict[str, Usage]
@@ -45,17 +45,17 @@
     traffic_after: dict[str, Traffic]
 
     def cpu(self, name: str) -> float:
-        """Part of a core that a process used."""
+        """Cores that a process used on average."""
         return (self.after[name].cpu - self.before[name].cpu) / self.seconds
 
     def traffic(self, group: str, what: str) -> float:
-        """`carried` (bytes) or `reads` (pieces) of a group's links, each second."""
+        """`carried` (bytes) or `reads` of a group's links, per second."""
         before, after = self.traffic_before[group], self.traffic_after[group]
         return (getattr(after, what) - getattr(before, what)) / self.seconds
 
 
 class Delays(msgspec.Struct, frozen=True):
-    """Seconds, of `count` cases; None of none. never: cases that did not come about."""
+    """Delays in seconds over `count` cases; None without any. never: cases that did not complete."""
 
     count: int
     never: int
@@ -65,10 +65,10 @@
 
 
 class StoryResult(msgspec.Struct, frozen=True):
-    """What a story did to changes asked for in it.
+    """Outcome of the changes requested during a story.
 
-    unanswered: changes that no machine took in all tries; answered: from the first try to the answer; shared,
-    scoped: from the answer until in force at all relays concerned;
+    unanswered: changes that no machine accepted in all tries; answered: from the first try to the answer;
+    shared, scoped: from the answer until in force at all relays concerned;
     restarted: from a relay's start until it is current; caught_up: whether all were, a while after the story.
     """
 
@@ -86,9 +86,9 @@
 
 
 class Compared(msgspec.Struct, frozen=True):
-    """A figure of a hollow relay beside that of a real one; both each second.
+    """A figure of a hollow relay compared with that of a real one, both per second.
 
-    proven: whether they agree within AGREES_WITHIN; spread: standard error of the real figure, where known.
+    proven: whether they agree within AGREEMENT_TOLERANCE; spread: standard error of `real`, if known.
     """
 
     hollow: float
@@ -99,7 +99,7 @@
 
 
 class MachineUse(msgspec.Struct, frozen=True):
-    """Of control machines over the ordinary window: parts of a core, bytes resident."""
+    """Use of control machines during the ordinary story: cores, resident bytes."""
 
     cpu_mean: float
     cpu_most: float
@@ -108,8 +108,11 @@
 
 
 class ScaleResult(msgspec.Struct, frozen=True):
-    """All of a run. real_cpu, plain_cpu: parts of a core of idle relays with and without control. Memories
-    are bytes resident; a hollow relay's is its part of what its host takes more than an empty one."""
+    """The result of a run.
+
+    real_cpu, plain_cpu: cores that idle relays use with and without control. Memory is resident bytes; that
+    of a hollow relay is its share of what its host uses above an empty host.
+    """
 
     relays: int
     real: int
@@ -136,33 +139,34 @@
     notifications: dict
 
     def good(self) -> bool:
-        """Whether no rule was broken and every change came in force."""
+        """Whether no rule was broken and every change came into force."""
         kept = not (self.older_after_newer.count or self.lost_changes.count or self.left_behind.count)
         return kept and self.notifications["good"] and all(story.caught_up for story in self.stories)
 
 
 def result_of(run, notifications: dict, alive: set[str], left: Faults) -> ScaleResult:
-    """run: a ScaleRun that has ended; alive: hollow relays whose books tell what they held at the end."""
+    """Builds the result of a ScaleRun that has ended; alive: relays that ran at the end."""
     plan, scope = run.plan, run.scope_of_key()
-    made, measures, fleet = run.changes.made, run.operations.measures, run.fleet
-    force = in_force(made, run.lines(), scope)
-    starts = caught_up(made, run.lines())
+    made, measurement, fleet = run.changes.made, run.operations.measurement, run.fleet
+    force = in_force(made, run.records(), scope)
+    starts = caught_up(made, run.records())
     hollow_count = len(run.operations.hollow_names)
     empty = run.operations.empty_hosts
-    after = measures.after if measures else empty
+    after = measurement.after if measurement else empty
     host_memory = sum(after[name].memory - empty[name].memory for name in fleet.hosts)
     return ScaleResult(
         relays=len(plan.relays), real=len(plan.real), hollow=hollow_count, machines=len(plan.machines),
         voters=sum(machine.voter for machine in plan.machines), destinations=plan.destinations, seed=run.seed,
         hold=run.hold, setup={name: round(value, 2) for name, value in run.setup.items()}, needs=plan.needs,
         stories=[story_of(window, made, force, starts) for window in run.windows],
-        compared=compared(measures, run.operations) if measures else {},
+        compared=compare_with_real(measurement, run.operations) if measurement else {},
         hollow_memory=host_memory / max(1, hollow_count),
-        real_memory=_mean_memory(measures, fleet.relays), plain_memory=_mean_memory(measures, fleet.plain),
-        real_cpu=_mean_cpu(measures, fleet.relays), plain_cpu=_mean_cpu(measures, fleet.plain),
-        machine=machine_use(measures, fleet.machines) if measures else None,
-        changes=len(made), older_after_newer=older_after_newer(run.lines()),
-        lost_changes=lost_changes(made + run.changes.doubtful, run.lines(), alive, scope), left_behind=left,
+        real_memory=_mean_memory(measurement, fleet.relays),
+        plain_memory=_mean_memory(measurement, fleet.plain),
+        real_cpu=_mean_cpu(measurement, fleet.relays), plain_cpu=_mean_cpu(measurement, fleet.plain),
+        machine=machine_use(measurement, fleet.machines) if measurement else None,
+        changes=len(made), older_after_newer=older_after_newer(run.records()),
+        lost_changes=lost_changes(made + run.changes.doubtful, run.records(), alive, scope), left_behind=left,
         notifications=notifications,
     )  # fmt: skip
 
@@ -170,62 +174,62 @@
 def story_of(
     window: Window, made: list[Change], force: list[InForce], starts: list[tuple[float, float]]
 ) -> StoryResult:
-    """force: of all changes of the run; starts: (when, seconds until current) of all starts of relays."""
+    """Builds a story's result; force: all changes of the run; starts: (time, seconds until current)."""
     mine = [each for each in force if window.began <= each.change.asked < window.settled]
     asked = [change for change in made if window.began <= change.asked < window.settled]
     slowest = max(mine, key=lambda each: each.seconds or 0.0, default=None)
     restarted = [seconds for at, seconds in starts if window.began <= at < window.settled]
     return StoryResult(
-        story=window.story, seconds=round(window.ended - window.began, 2), caught_up=window.whole,
+        story=window.story, seconds=round(window.ended - window.began, 2), caught_up=window.caught_up,
         caught_up_after=round(window.settled - window.ended, 2), changes=len(asked),
         unanswered=sum(not change.version for change in asked),
-        answered=delays([change.answered - change.asked for change in asked if change.version]),
-        shared=delays([each.seconds for each in mine if each.change.shared]),
-        scoped=delays([each.seconds for each in mine if not each.change.shared]),
-        restarted=delays(restarted), slowest=slowest.slowest if slowest else "",
+        answered=summarize_delays([change.answered - change.asked for change in asked if change.version]),
+        shared=summarize_delays([each.seconds for each in mine if each.change.shared]),
+        scoped=summarize_delays([each.seconds for each in mine if not each.change.shared]),
+        restarted=summarize_delays(restarted), slowest=slowest.slowest if slowest else "",
     )  # fmt: skip
 
 
-def delays(seconds: list[float | None]) -> Delays:
-    """None among them: it never came about."""
+def summarize_delays(seconds: list[float | None]) -> Delays:
+    """Summarizes delays; None stands for a case that never completed."""
     found = [value for value in seconds if value is not None]
     parts = [percentile(found, 0.5), percentile(found, 0.99), max(found, default=None)]
     rounded = [None if part is None else round(part, 3) for part in parts]
     return Delays(len(seconds), len(seconds) - len(found), *rounded)
 
 
-def compared(measures: Measured, operations) -> dict[str, Compared]:
-    """Bytes, pieces and processor time for control each second, of hollow relays beside real ones."""
+def compare_with_real(measurement: Measurement, operations) -> dict[str, Compared]:
+    """Compares hollow with real relays: bytes, reads and processor time for control, per second."""
     fleet, count = operations.fleet, max(1, len(operations.real_names))
     found = {}
     for name in ("carried", "reads"):
-        each = {group: measures.traffic(group, name) / count for group in (REAL, SAMPLE)}
-        found[name] = beside(each[SAMPLE], each[REAL])
-    hosts = sum(measures.cpu(name) for name in fleet.hosts) / max(1, len(operations.hollow_names))
-    real, plain = ([measures.cpu(name) for name in names] for names in (fleet.relays, fleet.plain))
-    found["cpu"] = beside(hosts, *control_cpu(real, plain))
+        each = {group: measurement.traffic(group, name) / count for group in (REAL, SAMPLE)}
+        found[name] = compare(each[SAMPLE], each[REAL])
+    hosts = sum(measurement.cpu(name) for name in fleet.hosts) / max(1, len(operations.hollow_names))
+    real, plain = ([measurement.cpu(name) for name in names] for names in (fleet.relays, fleet.plain))
+    found["cpu"] = compare(hosts, *control_cpu(real, plain))
     return found
 
 
 def control_cpu(real: list[float], plain: list[float]) -> tuple[float, float]:
-    """What idle relays use more than such without control, in the mean, and the standard error of that."""
+    """Mean cores that idle relays use above relays without control, and the standard error."""
     if not real or not plain:
         return 0.0, 0.0
     spread = (_variance(real) / len(real) + _variance(plain) / len(plain)) ** 0.5
     return sum(real) / len(real) - sum(plain) / len(plain), spread
 
 
-def beside(hollow: float, real: float, spread: float | None = None) -> Compared:
-    """Proven are two figures that agree; with a spread, only where that lies within the same bound too."""
+def compare(hollow: float, real: float, spread: float | None = None) -> Compared:
+    """Compares two figures: proven if they agree and the spread, if any, is within the same tolerance."""
     ratio = hollow / real if real > 0.0 else None
-    agrees = ratio is not None and abs(ratio - 1.0) <= AGREES_WITHIN
-    sharp = spread is None or spread <= AGREES_WITHIN * real
+    agrees = ratio is not None and abs(ratio - 1.0) <= AGREEMENT_TOLERANCE
+    sharp = spread is None or spread <= AGREEMENT_TOLERANCE * real
     return Compared(hollow, real, ratio, agrees and sharp, spread)
 
 
-def machine_use(measures: Measured, names: Iterable[str]) -> MachineUse:
-    cpu = [measures.cpu(name) for name in names]
-    memory = [measures.after[name].memory for name in names]
+def machine_use(measurement: Measurement, names: Iterable[str]) -> MachineUse:
+    cpu = [measurement.cpu(name) for name in names]
+    memory = [measurement.after[name].memory for name in names]
     return MachineUse(sum(cpu) / len(cpu), max(cpu), sum(memory) // len(memory), max(memory))
 
 
@@ -234,11 +238,11 @@
     return sum((value - mean) ** 2 for value in values) / max(1, len(values) - 1)
 
 
-def _mean_cpu(measures: Measured | None, names: Iterable[str]) -> float:
-    found = [measures.cpu(name) for name in names] if measures else []
+def _mean_cpu(measurement: Measurement | None, names: Iterable[str]) -> float:
+    found = [measurement.cpu(name) for name in names] if measurement else []
     return sum(found) / len(found) if found else 0.0
 
 
-def _mean_memory(measures: Measured | None, names: Iterable[str]) -> float:
-    found = [measures.after[name].memory for name in names] if measures else []
+def _mean_memory(measurement: Measurement | None, names: Iterable[str]) -> float:
+    found = [measurement.after[name].memory for name in names] if measurement else []
     return sum(found) / len(found) if found else 0.0
--- a/ryestack/lab/scale_stories.py
+++ b/ryestack/lab/scale_stories.py
@@ -1,6 +1,6 @@
-"""What befalls a fleet in a scale run. A story gets the operations there are and leaves the fleet whole.
+"""Stories of a scale run: faults and load on the fleet. Each gets the Operations and restores the fleet.
 
-Changes go on at a steady rate throughout. After each story the run waits until all relays have caught up.
+Changes continue at a steady rate throughout. After each story the run waits until all relays have caught up.
 """
 
 import asyncio
@@ -9,98 +9,113 @@
 
 BURST = 100  # changes in BURST_SECONDS
 BURST_SECONDS = 1.0
-RESTARTED_PART = 0.1
+RESTARTED_FRACTION = 0.1
 SLOW_RATE = 4_000.0  # bytes a second through the slowed link
-LATE = 1.0  # seconds that each piece is held up, in the mean
-FLAPS = 6  # times that the losing link ends what it carries
+MEAN_DELAY_S = 1.0  # mean delay of each read on the link
+RESETS = 6  # times that the lossy link resets its connections
 
 
 @dataclass(frozen=True, slots=True)
 class Lengths:
-    """Seconds of each state of affairs."""
+    """Durations in seconds: of the ordinary story, of each fault, of the partition between regions."""
 
     ordinary: float = 20.0
     fault: float = 6.0
     parted: float = 60.0
 
 
-async def ordinary(fleet) -> None:
-    await fleet.measure(fleet.lengths.ordinary)
+async def ordinary(operations) -> None:
+    """Injects no fault; measures all processes."""
+    await operations.measure(operations.lengths.ordinary)
 
 
-async def burst(fleet) -> None:
-    await fleet.changes.burst(BURST, BURST_SECONDS)
+async def burst(operations) -> None:
+    """Makes many changes within a second."""
+    await operations.changes.burst(BURST, BURST_SECONDS)
 
 
-async def tenth_restarted(fleet) -> None:
-    """Half of the hollow ones have lost their state folder and fetch their whole scope anew."""
-    hollow = fleet.random.sample(fleet.hollow_names, round(RESTARTED_PART * len(fleet.hollow_names)))
-    real = fleet.random.sample(fleet.real_names, round(RESTARTED_PART * len(fleet.real_names)))
-    await fleet.stop_hollow(hollow[::2], keep=True)
-    await fleet.stop_hollow(hollow[1::2], keep=False)
-    await fleet.start_hollow(hollow)
-    await fleet.kill_children(real)
-    await fleet.start_children(real)
-
-
-async def leader_killed(fleet) -> None:
-    leader = await fleet.leader()
-    await fleet.kill_children([leader])
-    await asyncio.sleep(fleet.lengths.fault)
-    await fleet.start_children([leader])
-
-
-async def machine_killed(fleet) -> None:
-    await fleet.kill_children([fleet.fleet.faulty])
-    await asyncio.sleep(fleet.lengths.fault)
-    await fleet.start_children([fleet.fleet.faulty])
-
-
-async def leader_stopped(fleet) -> None:
-    leader = await fleet.leader()
-    fleet.children.signal(leader, signal.SIGSTOP)
-    await asyncio.sleep(fleet.lengths.fault)
-    fleet.children.signal(leader, signal.SIGCONT)
-
-
-async def link_cut_one_way(fleet) -> None:
-    for way in ("out", "back"):
-        fleet.roads.turn_machine(way)
-        await asyncio.sleep(fleet.lengths.fault)
-        fleet.roads.turn_machine("ok")
-
-
-async def link_slowed(fleet) -> None:
-    fleet.roads.turn_machine("slow", rate=SLOW_RATE)
-    await asyncio.sleep(fleet.lengths.fault)
-    fleet.roads.turn_machine("late", delay=LATE)
-    await asyncio.sleep(fleet.lengths.fault)
-    fleet.roads.turn_machine("ok")
-
-
-async def link_losing(fleet) -> None:
-    for _ in range(FLAPS):
-        fleet.roads.turn_machine("reset")
-        await asyncio.sleep(fleet.lengths.fault / FLAPS / 2.0)
-        fleet.roads.turn_machine("ok")
-        await asyncio.sleep(fleet.lengths.fault / FLAPS / 2.0)
-
-
-async def zone_gone(fleet) -> None:
-    """Relays and control machines of one zone are killed at once, and come back together."""
-    zone = fleet.fleet.lost_zone
-    machines = [m.place.name for m in fleet.fleet.plan.machines if m.place.zone == zone]
-    hollow = [name for name in fleet.hollow_names if fleet.places[name].zone == zone]
-    real = [name for name in fleet.real_names if fleet.places[name].zone == zone]
-    await asyncio.gather(fleet.kill_children(machines + real), fleet.stop_hollow(hollow, keep=True))
-    await asyncio.sleep(fleet.lengths.fault)
-    await asyncio.gather(fleet.start_children(machines + real), fleet.start_hollow(hollow))
+async def tenth_restarted(operations) -> None:
+    """Restarts a tenth of all relays; half of the hollow ones lose their state and refetch their scope."""
+    hollow = operations.random.sample(
+        operations.hollow_names, round(RESTARTED_FRACTION * len(operations.hollow_names))
+    )
+    real = operations.random.sample(
+        operations.real_names, round(RESTARTED_FRACTION * len(operations.real_names))
+    )
+    await operations.stop_hollow(hollow[::2], keep=True)
+    await operations.stop_hollow(hollow[1::2], keep=False)
+    await operations.start_hollow(hollow)
+    await operations.kill_processes(real)
+    await operations.start_processes(real)
+
+
+async def leader_killed(operations) -> None:
+    """Kills the leader and restarts it."""
+    leader = await operations.leader()
+    await operations.kill_processes([leader])
+    await asyncio.sleep(operations.lengths.fault)
+    await operations.start_processes([leader])
+
+
+async def machine_killed(operations) -> None:
+    """Kills a fixed control machine and restarts it."""
+    await operations.kill_processes([operations.fleet.faulty])
+    await asyncio.sleep(operations.lengths.fault)
+    await operations.start_processes([operations.fleet.faulty])
+
+
+async def leader_stopped(operations) -> None:
+    """Pauses the leader by SIGSTOP and resumes it."""
+    leader = await operations.leader()
+    operations.processes.signal(leader, signal.SIGSTOP)
+    await asyncio.sleep(operations.lengths.fault)
+    operations.processes.signal(leader, signal.SIGCONT)
+
+
+async def link_cut_one_way(operations) -> None:
+    """Cuts the links to one machine in one direction, then in the other."""
+    for direction in ("out", "back"):
+        operations.link_table.set_machine_mode(direction)
+        await asyncio.sleep(operations.lengths.fault)
+        operations.link_table.set_machine_mode("ok")
+
+
+async def link_slowed(operations) -> None:
+    """Limits the rate of the links to one machine, then delays them."""
+    operations.link_table.set_machine_mode("slow", rate=SLOW_RATE)
+    await asyncio.sleep(operations.lengths.fault)
+    operations.link_table.set_machine_mode("late", delay=MEAN_DELAY_S)
+    await asyncio.sleep(operations.lengths.fault)
+    operations.link_table.set_machine_mode("ok")
+
+
+async def link_losing(operations) -> None:
+    """Resets the connections to one machine several times."""
+    for _ in range(RESETS):
+        operations.link_table.set_machine_mode("reset")
+        await asyncio.sleep(operations.lengths.fault / RESETS / 2.0)
+        operations.link_table.set_machine_mode("ok")
+        await asyncio.sleep(operations.lengths.fault / RESETS / 2.0)
+
+
+async def zone_gone(operations) -> None:
+    """Kills the relays and control machines of one zone at once and restarts them together."""
+    zone = operations.fleet.lost_zone
+    machines = [m.place.name for m in operations.fleet.plan.machines if m.place.zone == zone]
+    hollow = [name for name in operations.hollow_names if operations.places[name].zone == zone]
+    real = [name for name in operations.real_names if operations.places[name].zone == zone]
+    await asyncio.gather(
+        operations.kill_processes(machines + real), operations.stop_hollow(hollow, keep=True)
+    )
+    await asyncio.sleep(operations.lengths.fault)
+    await asyncio.gather(operations.start_processes(machines + real), operations.start_hollow(hollow))
 
 
-async def regions_parted(fleet) -> None:
-    fleet.roads.turn_regions("hole")
-    await asyncio.sleep(fleet.lengths.parted)
-    fleet.roads.turn_regions("ok")
+async def regions_parted(operations) -> None:
+    """Partitions two regions from each other."""
+    operations.link_table.set_region_mode("hole")
+    await asyncio.sleep(operations.lengths.parted)
+    operations.link_table.set_region_mode("ok")
 
 
 STORIES = {
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""A short scale run of processes: every rule is kept, and no process is left, also when it is cancelled."""
+"""A short scale run with real processes keeps every rule and leaves no process, also when it is cancelled."""
 
 import asyncio
 
@@ -17,12 +17,16 @@
         lengths = Lengths(ordinary=3.0, fault=3.0, parted=3.0)
         return await ScaleRun(tmp_path, plan, 1, lengths, print, hold=2.0).run(stories)
 
-    told = asyncio.run(play())
-    assert [story.story for story in told.stories if not story.caught_up] == []
-    assert [(s.story, s.shared.never, s.scoped.never) for s in told.stories] == [(s, 0, 0) for s in stories]
-    assert (told.older_after_newer.lines, told.lost_changes.lines, told.left_behind.lines) == ([], [], [])
-    assert told.changes > 100 and told.notifications["taken"] > 0
-    assert told.notifications["good"], told.notifications["broken"]
+    result = asyncio.run(play())
+    assert [story.story for story in result.stories if not story.caught_up] == []
+    assert [(s.story, s.shared.never, s.scoped.never) for s in result.stories] == [(s, 0, 0) for s in stories]
+    assert (result.older_after_newer.lines, result.lost_changes.lines, result.left_behind.lines) == (
+        [],
+        [],
+        [],
+    )
+    assert result.changes > 100 and result.notifications["taken"] > 0
+    assert result.notifications["good"], result.notifications["broken"]
 
 
 def test_a_run_that_is_cancelled_leaves_no_process(tmp_path):
@@ -31,11 +35,11 @@
     async def play():
         run = ScaleRun(tmp_path, plan, 1, Lengths(), print)
         task = asyncio.ensure_future(run.run(["ordinary"]))
-        while len(run.children.ids) < len(plan.machines):
+        while len(run.processes.process_ids) < len(plan.machines):
             await asyncio.sleep(0.05)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return run.children.ids
+        return run.processes.process_ids
 
     ids = asyncio.run(play())
     assert len(ids) >= len(plan.machines) and left_behind(ids, runs).count == 0
