--- a/ryestack/lab/capacity.py
+++ b/ryestack/lab/capacity.py
@@ -1,6 +1,6 @@
-"""The arithmetic of docs/CAPACITY.md: each figure as slope times counts. Pure.
+"""Computes the figures of docs/CAPACITY.md: each is a slope times counts. Pure.
 
-A derived count is rounded to four significant digits before it is multiplied, as a slope's unit cost is to
+Before they are multiplied, a derived count is rounded to four significant digits and a slope's unit cost to
 three.
 """
 
@@ -10,15 +10,21 @@
 
 from .capacity_model import BadInputs, Inputs, Known, Missing, Row, Slope, rounded
 
-KNOWN_ORDER = ("measured", "hollow", "simulated", "on paper", "not run")  # a row is known as its weakest part
+KNOWN_ORDER = (
+    "measured",
+    "hollow",
+    "simulated",
+    "on paper",
+    "not run",
+)  # best to worst; a row is known as its worst slope
 COUNT_DIGITS = 4
 
 
 class Figure(msgspec.Struct, frozen=True):
     """A computed row; value is nan where a slope was not run.
 
-    over: figure by limit; breaks_at: the size of `grows_with` at which that is 1; beyond: how many times the
-    largest measured size the row's size is.
+    over: figure divided by limit; breaks_at: the size of `grows_with` at which that is 1; asked: the size of
+    `grows_with` to design for; beyond: the row's size as a multiple of the largest measured size.
     """
 
     row: Row
@@ -36,7 +42,7 @@
 
 
 class Rank(msgspec.Struct, frozen=True):
-    """A missing mechanism and the figure of its rows that breaks first, as a part of the asked size."""
+    """A missing mechanism and the first of its figures to break; part: the fraction of the asked size."""
 
     missing: Missing
     figure: Figure
@@ -44,7 +50,7 @@
 
 
 def counts_of(inputs: Inputs) -> dict[str, float]:
-    """All numbers by name, the derived ones computed in their order."""
+    """All counts by name, with the derived ones computed in their order; raises BadInputs."""
     found = {count.name: count.value for count in inputs.count}
     for derived in inputs.derived:
         try:
@@ -56,7 +62,7 @@
 
 
 def figures(inputs: Inputs) -> list[Figure]:
-    """All rows, computed; raises BadInputs."""
+    """Computes all rows; raises BadInputs."""
     counts, slopes = counts_of(inputs), {slope.name: slope for slope in inputs.slope}
     found = []
     for row in inputs.row:
@@ -68,14 +74,14 @@
 
 
 def figure(row: Row, counts: dict[str, float], slopes: list[Slope]) -> Figure:
-    """One row; raises KeyError for a name that is not there."""
+    """Computes one row; raises KeyError for an unknown name, BadInputs for different units."""
     if len({slope.unit for slope in slopes}) != 1:
         raise BadInputs(f"row {row.what!r}: its slopes' units differ")
     base, cost = sum(slope.base() for slope in slopes), sum(slope.cost() for slope in slopes)
     named = [(name, counts[name]) for name in row.counts]
     value = base + cost * prod(number for _, number in named)
     known = max((slope.known for slope in slopes), key=KNOWN_ORDER.index)
-    beyond = extrapolated(slopes, counts[row.at or row.counts[0]], counts)
+    beyond = extrapolation_factor(slopes, counts[row.at or row.counts[0]], counts)
     made = Figure(row, slopes[0].unit, base, cost, named, value, known, beyond)
     if not row.limit or isnan(value):
         return made
@@ -86,8 +92,8 @@
     return msgspec.structs.replace(made, limit=limit, over=over, breaks_at=breaks, asked=asked)
 
 
-def extrapolated(slopes: list[Slope], size: float, counts: dict[str, float]) -> float:
-    """How many times the largest measured size that size is; a constant's size is the count it names."""
+def extrapolation_factor(slopes: list[Slope], size: float, counts: dict[str, float]) -> float:
+    """The size as a multiple of the largest measured one; a constant's size is the count that it names."""
     beyond = 0.0
     for slope in (slope for slope in slopes if slope.points):
         asked = counts.get(slope.size, 0.0) if slope.law == "constant" else size
@@ -96,18 +102,18 @@
 
 
 def ranking(inputs: Inputs, computed: list[Figure]) -> list[Rank]:
-    """Mechanisms by the part of the asked size at which the first of their rows breaks, smallest first."""
+    """Mechanisms by the fraction of the asked size at which their first row breaks, smallest first."""
     ranks = []
     for missing in inputs.missing:
         broken = [f for f in computed if f.row.needs == missing.name and f.over and f.over > 1.0]
         if broken:
-            worst = min(broken, key=part_of)
-            ranks.append(Rank(missing, worst, part_of(worst)))
+            worst = min(broken, key=breaking_fraction)
+            ranks.append(Rank(missing, worst, breaking_fraction(worst)))
     return sorted(ranks, key=lambda rank: rank.part)
 
 
-def part_of(figure: Figure) -> float:
-    """The breaking size as a part of the asked one."""
+def breaking_fraction(figure: Figure) -> float:
+    """The breaking size as a fraction of the asked one."""
     return (
         figure.breaks_at / figure.asked
         if figure.breaks_at is not None and figure.asked
--- a/ryestack/lab/capacity_model.py
+++ b/ryestack/lab/capacity_model.py
@@ -1,7 +1,7 @@
-"""The inputs of docs/CAPACITY.md as types, and how they are read. Pure.
+"""Typed inputs of docs/CAPACITY.md and their reader. Pure.
 
-A slope's unit cost is rounded to three significant digits, so that a reader gets the page's figures from the
-numbers that the page shows.
+A slope's unit cost is rounded to three significant digits, so that readers can recompute the page's figures
+from the numbers that it shows.
 """
 
 import tomllib
@@ -19,11 +19,11 @@
 
 
 class BadInputs(Exception):
-    """Inputs that do not fit together; the text names the entry."""
+    """Inputs that are inconsistent; the message names the entry."""
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all entries of the file are: closed to keys that nothing reads."""
+    """Base of all entries of the file; unknown keys are refused."""
 
 
 class Count(Entry, frozen=True):
@@ -36,7 +36,7 @@
 
 
 class Derived(Entry, frozen=True):
-    """A number from others: the product of `of` by the product of `by`; `claimed` as the issue has it."""
+    """A computed number: the product of `of` divided by that of `by`; claimed: its value in the issue."""
 
     name: str
     of: list[str]
@@ -47,10 +47,10 @@
 
 
 class Slope(Entry, frozen=True):
-    """What one more of something costs. points: (size, value); unit: of a value, s or B, a second with /s.
+    """The cost of one more unit of a size. points: (size, value); unit: of a value, s or B, or per second /s.
 
     proportional: value = cost * size. line: value = base + cost * size. constant: value = cost.
-    `given` stands in place of points where it is on paper.
+    `given` replaces points where the cost is only estimated (on paper).
     """
 
     name: str
@@ -71,7 +71,7 @@
     given: float | None = None
 
     def cost(self) -> float:
-        """One more unit of size, or the whole where the law is constant; nan where it was not run."""
+        """Cost of one more unit of size, or the total of a constant law; nan where it was not run."""
         if self.given is not None:
             return self.given
         if not self.points:
@@ -85,7 +85,7 @@
         return rounded(laws[self.law], COST_DIGITS)
 
     def base(self) -> float:
-        """The value at size 0 of a line; 0 for the others."""
+        """The value of a line at size 0; 0 for other laws."""
         if self.law != "line" or not self.points:
             return 0.0
         (first, low), (last, high) = self.points[0], self.points[-1]
@@ -93,11 +93,11 @@
 
 
 class Row(Entry, frozen=True):
-    """One figure: the slopes' costs, added, times the counts. The first count is the slopes' size.
+    """One figure: the sum of the slopes' costs times the counts. The first count is the slopes' size.
 
-    grows_with: the count in which the row is linear, by which its breaking size is told; limit: a budget's
-    name, empty where none is set; needs: the missing mechanism that would bring it in; at: the count that
-    is the slopes' size where that is not the first one.
+    grows_with: the count in which the row is linear and its breaking size is given; limit: name of a budget,
+    empty where none is set; needs: the missing mechanism that would bring the figure within its limit; at:
+    the count that is the slopes' size where that is not the first one.
     """
 
     role: str
@@ -115,7 +115,7 @@
 
 
 class Missing(Entry, frozen=True):
-    """A mechanism that the rows call for."""
+    """A missing mechanism that rows need."""
 
     name: str
     what: str
@@ -123,9 +123,10 @@
 
 
 class Observed(Entry, frozen=True):
-    """What a run of docs/studies/scale.json told at its sizes; nothing is extrapolated from it.
+    """A value observed in the runs of docs/studies/scale.json; nothing is extrapolated from it.
 
-    path: of the value in a run, a story by its name; values: (relays, value); limit: a count's name.
+    path: dotted path of the value in a run, with stories by name; values: (relays, value); limit: name of a
+    count.
     """
 
     what: str
@@ -137,7 +138,7 @@
 
 
 class Share(Entry, frozen=True):
-    """A part of a relay's processor time, of 1."""
+    """A fraction (0 to 1) of a relay's processor time."""
 
     name: str
     share: float
@@ -146,8 +147,8 @@
 class Profile(Entry, frozen=True):
     """Where a relay's processor time goes.
 
-    packages: in a package's own code, of all; functions: in one of ours or what it called, so that they hold
-    each other.
+    packages: share of a package's own code; functions: share of one of our functions and its callees, so that
+    the shares overlap.
     """
 
     command: str
@@ -159,7 +160,7 @@
 
 
 class Inputs(Entry, frozen=True):
-    """The whole file."""
+    """All entries of the file."""
 
     count: list[Count]
     derived: list[Derived]
@@ -173,14 +174,14 @@
 
 
 def rounded(value: float, digits: int) -> float:
-    """To so many significant digits."""
+    """Rounds to so many significant digits."""
     if value == 0.0:
         return 0.0
     return round(value, digits - 1 - int(log10(abs(value)) // 1))
 
 
 def read(text: str) -> Inputs:
-    """Raises BadInputs with the entry at fault."""
+    """Parses the text of the file; raises BadInputs, which names the invalid entry."""
     try:
         return msgspec.convert(tomllib.loads(text), Inputs)
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as problem:
--- a/ryestack/lab/capacity_page.py
+++ b/ryestack/lab/capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md, written from docs/capacity.toml. Pure."""
+"""Generates docs/CAPACITY.md from docs/capacity.toml. Pure."""
 
 from itertools import groupby
 from math import isnan
@@ -6,7 +6,7 @@
 from .capacity import Figure, Rank, counts_of, figures, ranking
 from .capacity_model import Derived, Inputs, Slope, read
 
-HEAD = """# Capacity
+PAGE_HEAD = """# Capacity
 
 Written from [capacity.toml](capacity.toml) by `make pages`; do not edit it here. `tests/test_capacity.py`
 checks it.
@@ -25,11 +25,11 @@
 ([studies/scale.json](studies/scale.json)). Three sizes over one decade are fewer than a slope needs:
 nothing is extrapolated from them.
 """
-STEPS = ((1e9, "G"), (1e6, "M"), (1e3, "k"), (1.0, ""), (1e-3, "m"), (1e-6, "u"), (1e-9, "n"))
+UNIT_PREFIXES = ((1e9, "G"), (1e6, "M"), (1e3, "k"), (1.0, ""), (1e-3, "m"), (1e-6, "u"), (1e-9, "n"))
 
 
 def significant(value: float, digits: int = 3) -> str:
-    """Plain digits with separators, no exponent."""
+    """Formats a value to significant digits with separators, without an exponent."""
     if value == 0.0:
         return "0"
     if abs(value) >= 1000.0:
@@ -40,24 +40,24 @@
 
 
 def quantity(value: float, unit: str) -> str:
-    """A value with a prefix for seconds and bytes, parts of a core in percent, else as it is."""
+    """Formats a value: SI prefix for seconds and bytes, fractions of a core in percent, else plain."""
     if unit == "cores":
         return f"{significant(value)} cores" if value > 1.0 else f"{significant(100.0 * value)}% of a core"
     if unit not in ("s", "B", "B/s") or value == 0.0:
         return f"{significant(value)} {unit}".strip()
     if unit == "s" and value >= 1.0:
         return f"{significant(value)} s"
-    size, prefix = next((s, p) for s, p in STEPS if abs(value) >= s * 0.9995 or s == 1e-9)
+    size, prefix = next((s, p) for s, p in UNIT_PREFIXES if abs(value) >= s * 0.9995 or s == 1e-9)
     return f"{significant(value / size)} {prefix}{unit}"
 
 
 def number(value: float) -> str:
-    """A count: whole where it is large."""
+    """Formats a count to four significant digits."""
     return significant(value, 4)
 
 
-def table(heads: list[str], rows: list[list[str]]) -> str:
-    lines = [heads, ["---"] * len(heads), *rows]
+def table(headers: list[str], rows: list[list[str]]) -> str:
+    lines = [headers, ["---"] * len(headers), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines) + "\n"
 
 
@@ -81,7 +81,7 @@
 
 
 def law(slope: Slope) -> str:
-    """What one more costs, as the page shows it."""
+    """Formats a slope's cost."""
     if isnan(slope.cost()):
         return "-"
     cost, unit = slope.cost(), slope.unit
@@ -106,65 +106,75 @@
         "## Slopes\n\nExponent: of a power law through all points, its standard error, the lowest and the\n"
     )
     text += "highest between neighbouring points. A line goes through the first and the last point.\n\n"
-    heads = ["slope", "what", "cost", "points", "exponent", "held fixed", "known"]
+    headers = ["slope", "what", "cost", "points", "exponent", "held fixed", "known"]
     rows_of = [
         [f"`{s.name}`", f"`{s.mechanism}`", f"`{s.command}`" if s.command else "-", s.commit or "-"]
         for s in inputs.slope
     ]
     return (
         text
-        + table(heads, rows)
+        + table(headers, rows)
         + "\nWhere each comes from:\n\n"
         + table(["slope", "code", "command", "commit"], rows_of)
     )
 
 
-def product(f: Figure) -> str:
-    """slope x counts = figure."""
-    if isnan(f.value):
+def product(figure: Figure) -> str:
+    """Formats a figure as slope x counts = value."""
+    if isnan(figure.value):
         return "not run"
-    factors = [quantity(f.cost, f.cost_unit), *(number(count) for _, count in f.counts)]
+    factors = [quantity(figure.cost, figure.cost_unit), *(number(count) for _, count in figure.counts)]
     text = " x ".join(factors)
-    if f.base:
-        text = f"{quantity(f.base, f.cost_unit)} + {text}"
-    return f"{text} = **{quantity(f.value, f.row.unit)}**"
+    if figure.base:
+        text = f"{quantity(figure.base, figure.cost_unit)} + {text}"
+    return f"{text} = **{quantity(figure.value, figure.row.unit)}**"
 
 
-def verdict(f: Figure) -> list[str]:
-    if f.limit is None or f.over is None:
+def verdict(figure: Figure) -> list[str]:
+    if figure.limit is None or figure.over is None:
         return ["none set", "-", "-"]
-    told = "fits" if f.over <= 1.0 else f"over {significant(f.over)}x"
-    told += f" ({significant(100.0 * f.over)}%)" if f.over <= 1.0 else ""
-    at = f"{number(f.breaks_at)} {f.row.grows_with.replace('_', ' ')}" if f.breaks_at is not None else "-"
-    return [f"{quantity(f.limit, f.row.unit)}", told, at]
+    text = "fits" if figure.over <= 1.0 else f"over {significant(figure.over)}x"
+    text += f" ({significant(100.0 * figure.over)}%)" if figure.over <= 1.0 else ""
+    breaks_at = (
+        f"{number(figure.breaks_at)} {figure.row.grows_with.replace('_', ' ')}"
+        if figure.breaks_at is not None
+        else "-"
+    )
+    return [f"{quantity(figure.limit, figure.row.unit)}", text, breaks_at]
 
 
-def known(f: Figure) -> str:
-    return f"{f.known}, x{significant(f.beyond, 2)}" if f.known == "measured" and f.beyond > 1.0 else f.known
+def known(figure: Figure) -> str:
+    return (
+        f"{figure.known}, x{significant(figure.beyond, 2)}"
+        if figure.known == "measured" and figure.beyond > 1.0
+        else figure.known
+    )
 
 
 def roles(inputs: Inputs, computed: list[Figure]) -> str:
     mechanisms = {slope.name: slope.mechanism for slope in inputs.slope}
-    heads = ["what", "figure", "limit", "against it", "breaks at", "mechanism", "status", "known"]
+    headers = ["what", "figure", "limit", "against it", "breaks at", "mechanism", "status", "known"]
     parts = []
-    for role, of_role in groupby(computed, key=lambda f: f.row.role):
+    for role, of_role in groupby(computed, key=lambda figure: figure.row.role):
         parts.append(f"## {role}\n")
-        for day, of_day in groupby(of_role, key=lambda f: f.row.day):
+        for day, of_day in groupby(of_role, key=lambda figure: figure.row.day):
             rows = []
-            for f in of_day:
-                files = ", ".join(dict.fromkeys(f"`{mechanisms[name]}`" for name in f.row.slopes))
-                what = f"{f.row.what}. {f.row.note}" if f.row.note else f.row.what
-                rows.append([what, product(f), *verdict(f), files, f.row.status, known(f)])
-            parts.append(f"### {day}\n\n" + table(heads, rows))
+            for figure in of_day:
+                files = ", ".join(dict.fromkeys(f"`{mechanisms[name]}`" for name in figure.row.slopes))
+                what = f"{figure.row.what}. {figure.row.note}" if figure.row.note else figure.row.what
+                rows.append(
+                    [what, product(figure), *verdict(figure), files, figure.row.status, known(figure)]
+                )
+            parts.append(f"### {day}\n\n" + table(headers, rows))
     return "\n".join(parts)
 
 
 def breaking_size(rank: Rank) -> str:
-    """At which size, and which part of the asked one that is."""
-    f = rank.figure
-    if f.breaks_at is None:
-        return f"at any size: {significant(f.over)} times its limit"
-    size = f"{number(f.breaks_at)} of {number(f.asked)} {f.row.grows_with.replace('_', ' ')}"
+    """Formats the size at which a figure breaks, and its fraction of the asked size."""
+    figure = rank.figure
+    if figure.breaks_at is None:
+        return f"at any size: {significant(figure.over)} times its limit"
+    size = f"{number(figure.breaks_at)} of {number(figure.asked)} {figure.row.grows_with.replace('_', ' ')}"
     return f"{size} ({significant(100.0 * rank.part)}% of the size)"
 
 
@@ -174,30 +184,32 @@
         what = f"**{rank.missing.name}**: {rank.missing.what}"
         first = f"{rank.figure.row.what}: {product(rank.figure)}"
         rows.append([str(place), what, first, breaking_size(rank), rank.missing.state])
-    heads = ["", "mechanism", "the row that breaks first", "breaks at", "state"]
+    headers = ["", "mechanism", "the row that breaks first", "breaks at", "state"]
     text = (
         "## Ranking\n\nWhat is missing, by the part of the size at which its first row breaks, least first."
     )
-    return f"{text}\n\n{table(heads, rows)}"
+    return f"{text}\n\n{table(headers, rows)}"
 
 
 def scale_run(inputs: Inputs) -> str:
-    """What the scale run told, by size, against the limits."""
+    """The section with the scale run's values by size, compared with their limits."""
     counts, rows = counts_of(inputs), []
     sizes = [size for size, _ in inputs.observed[0].values]
-    for seen in inputs.observed:
-        limit = counts[seen.limit] if seen.limit else None
+    for observed in inputs.observed:
+        limit = counts[observed.limit] if observed.limit else None
         cells = [
-            quantity(value, seen.unit) + ("" if limit is None or value <= limit else " (over)")
-            for _, value in seen.values
+            quantity(value, observed.unit) + ("" if limit is None or value <= limit else " (over)")
+            for _, value in observed.values
         ]
-        rows.append([seen.what, *cells, quantity(limit, seen.unit) if limit else "none set", seen.known])
-    heads = ["what", *(f"{number(size)} relays" for size in sizes), "limit", "known"]
-    return f"{SCALE_RUN}\n{table(heads, rows)}"
+        rows.append(
+            [observed.what, *cells, quantity(limit, observed.unit) if limit else "none set", observed.known]
+        )
+    headers = ["what", *(f"{number(size)} relays" for size in sizes), "limit", "known"]
+    return f"{SCALE_RUN}\n{table(headers, rows)}"
 
 
 def profile(inputs: Inputs) -> str:
-    """Where the processor time of a message goes."""
+    """The section with the processor time of a message by package and function."""
     found, parts = inputs.profile, []
     for title, shares in (("in its own code", found.packages), ("in it and what it calls", found.functions)):
         rows = [[f"`{share.name}`", f"{significant(100.0 * share.share)}%"] for share in shares]
@@ -207,11 +219,11 @@
 
 
 def page(text: str) -> str:
-    """The page for the text of capacity.toml; raises BadInputs."""
+    """Generates the page from the text of capacity.toml; raises BadInputs."""
     inputs = read(text)
     computed = figures(inputs)
     parts = [
-        HEAD,
+        PAGE_HEAD,
         given(inputs),
         derived(inputs),
         ranked(inputs, computed),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The slopes of docs/CAPACITY.md: how they are fitted, and that the page says what its inputs give."""
+"""The slopes of docs/CAPACITY.md: how they are fitted, and that the page agrees with its inputs."""
 
 import json
 import math
@@ -26,7 +26,7 @@
     assert math.isclose(found.lowest, 1.0) and math.isclose(found.highest, 1.0 + math.log10(3.0))
 
 
-def test_what_has_no_logarithm_or_no_spread_of_sizes_is_refused():
+def test_values_without_a_logarithm_and_equal_sizes_are_refused():
     for points in ([(10, 1.0), (100, 0.0), (1000, 1.0)], [(10, 1.0), (100, 1.0)], [(10, 1.0)] * 4):
         with pytest.raises(TooFewPoints):
             fit(points)
@@ -40,7 +40,7 @@
 
 DOCS = Path(__file__).resolve().parent.parent / "docs"
 PREFIXES = {"G": 1e9, "M": 1e6, "k": 1e3, "m": 1e-3, "u": 1e-6, "n": 1e-9}
-NEAR = 0.011  # of a figure: three digits are shown of each
+RELATIVE_TOLERANCE = 0.011  # three digits are shown of each figure
 
 
 @pytest.fixture(scope="module")
@@ -54,7 +54,7 @@
 
 
 def amount(words: str) -> float:
-    """A quantity as the page shows it, in plain units: `14.2 ms`, `1.1% of a core`, `860,000`."""
+    """Parses a quantity of the page, such as `14.2 ms`, `1.1% of a core`, `860,000`, into base units."""
     found = re.fullmatch(r"([\d.,]+)(?: ?(.*))", words.strip())
     number, unit = float(found[1].replace(",", "")), found[2]
     if unit.startswith("%"):
@@ -64,7 +64,7 @@
 
 
 def sums(page: str) -> list[tuple[float, float]]:
-    """(what the shown factors give, the shown result) of each product on the page."""
+    """(product of the shown factors, shown result) of each product on the page."""
     found = []
     for left, result in re.findall(r"\| ([^|=*]*) = \*\*([^*|]+)\*\* \|", page):
         base, _, product = left.rpartition(": ")[2].rpartition(" + ")
@@ -74,34 +74,34 @@
 
 
 def wrong_sums(page: str) -> list[tuple[float, float]]:
-    return [(got, said) for got, said in sums(page) if abs(got - said) > NEAR * abs(said)]
+    return [(got, said) for got, said in sums(page) if abs(got - said) > RELATIVE_TOLERANCE * abs(said)]
 
 
 def wrong_verdicts(page: str) -> list[str]:
-    """Rows whose verdict or limit does not go with their figure."""
+    """Rows whose verdict or limit contradicts their figure."""
     wrong = []
     for line in page.splitlines():
         row = re.search(r"\*\*([^*]+)\*\* \| ([^|]+) \| (fits|over) \(?([\d.,]+)(x|%)", line)
         if row:
             over = amount(row[1]) / amount(row[2])
             said = float(row[4].replace(",", "")) / (1.0 if row[5] == "x" else 100.0)
-            if abs(over - said) > NEAR * said or (over > 1.0) != (row[3] == "over"):
+            if abs(over - said) > RELATIVE_TOLERANCE * said or (over > 1.0) != (row[3] == "over"):
                 wrong.append(line)
     return wrong
 
 
-def test_the_page_is_what_its_inputs_give(text, shown):
-    assert page(text) == shown, "make pages writes it"
+def test_the_page_is_generated_from_its_inputs(text, shown):
+    assert page(text) == shown, "out of date: run make pages"
 
 
-def test_a_pocket_calculator_gives_each_figure(shown):
+def test_each_figure_can_be_recomputed_from_the_page(shown):
     assert len(sums(shown)) > 30
     assert not wrong_sums(shown)
     assert not wrong_verdicts(shown)
 
 
 def test_a_tampered_figure_is_found(text, shown):
-    """Of each product and each verdict on the page, and of each slope's largest point in the inputs."""
+    """Changes each product and verdict on the page, and each slope's largest point in the inputs."""
     for found in re.finditer(r"= \*\*([\d.,]+)", shown):
         more = f"{float(found[1].replace(',', '')) * 1.2:.6g}"
         assert wrong_sums(shown[: found.start(1)] + more + shown[found.end(1) :]), found[0]
@@ -125,13 +125,13 @@
         assert abs(np.polyfit(sizes, values, 1)[0] - slope.exponent) < 0.002, slope.name
         order = np.argsort(sizes)
         between = np.diff(values[order]) / np.diff(sizes[order])
-        told = [slope.lowest, slope.highest]
-        assert np.allclose([between.min(), between.max()], told, atol=0.03), slope.name
+        stated = [slope.lowest, slope.highest]
+        assert np.allclose([between.min(), between.max()], stated, atol=0.03), slope.name
         assert slope.standard_error is not None
 
 
 def test_a_slope_counted_as_proportional_or_constant_is_one(text):
-    """A line or a product says more than the points do where the exponent is another."""
+    """With another exponent, a line or a product would claim more than the points show."""
     for slope in (s for s in read(text).slope if s.points):
         low, high = {"proportional": (0.75, 1.25), "constant": (-0.2, 0.2), "line": (0.0, 1.25)}[slope.law]
         assert low <= slope.exponent <= high, slope.name
