--- a/benchmarks/bare_proxy.py
+++ b/benchmarks/bare_proxy.py
@@ -1,9 +1,9 @@
-"""A proxy that only forwards, on the library that the relay uses: what a message costs at least.
+"""A forwarding-only proxy on the relay's HTTP library: the lower bound of the cost of a message.
 
     python benchmarks/bare_proxy.py LISTEN TARGET [TARGET ...]
 
-It reads a request whole, posts the body to the next target, and answers 202 once that has answered 200. It
-keeps, decides and logs nothing.
+It reads the whole request, posts its body to the next target (round-robin), and answers 202 once the target
+has answered 200, else 503. It stores, decides and logs nothing.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 
 async def run(listen: str, targets: list[str]) -> None:
     session = aiohttp.ClientSession(cookie_jar=aiohttp.DummyCookieJar())
-    turn = cycle(targets)
+    next_targets = cycle(targets)
 
     async def handle(request: web.BaseRequest) -> web.Response:
         if request.path == "/_health":
             return web.Response()
         body, headers = await request.read(), {"X-Request-Id": request.headers.get("X-Request-Id", "")}
-        async with session.post(f"http://{next(turn)}/receive", data=body, headers=headers) as answer:
+        async with session.post(f"http://{next(next_targets)}/receive", data=body, headers=headers) as answer:
             return web.Response(status=202 if answer.status == 200 else 503)
 
     host, _, port = listen.rpartition(":")
--- a/benchmarks/capacity_inputs.py
+++ b/benchmarks/capacity_inputs.py
@@ -1,10 +1,10 @@
-"""Takes measured slopes into docs/capacity.toml.
+"""Writes measured slopes into docs/capacity.toml.
 
     python benchmarks/capacity_inputs.py RESULT.json [...] [--rename members.has=members.has.before]
     python benchmarks/capacity_inputs.py --scale  # docs/studies/scale.json into each [[observed]]
 
-For each quantity of the results that the file has a [[slope]] of, its points, fit, command and commit are
-written in place of the old ones; quantities that the file doesn't name are told and left out.
+For each quantity of the results with a [[slope]] in the file, its points, fit, command and commit replace the
+old ones; quantities without a [[slope]] are reported and left out.
 """
 
 import json
@@ -35,12 +35,12 @@
     """The TOML lines of one measured slope."""
     found = result["slopes"][quantity]
     points = ", ".join(f"[{size:.6g}, {value:.{DIGITS}g}]" for size, value in found["points"])
-    told = [f"points = [{points}]"]
+    lines = [f"points = [{points}]"]
     if found["fit"]:
-        told += [f"{key} = {value:.4f}" for key, value in found["fit"].items()]
+        lines += [f"{key} = {value:.4f}" for key, value in found["fit"].items()]
     command = f"python benchmarks/capacity.py {found['probe']}"
     return [
-        *told,
+        *lines,
         f'fixed = "{found["fixed"]}"',
         f'command = "{command}"',
         f'commit = "{result["commit"]}"',
@@ -49,7 +49,7 @@
 
 
 def replaced(text: str, name: str, lines: list[str]) -> tuple[str, bool]:
-    """The file with that slope's measured lines in place of the old ones, and whether it has the slope."""
+    """Returns the text with the slope's measured lines replaced, and whether it has the slope."""
     pattern = re.compile(rf'(\[\[slope\]\]\nname = "{re.escape(name)}"\n)(.*?)(?=\n\[|\n\n|\Z)', re.S)
     entry = pattern.search(text)
     if not entry:
@@ -59,15 +59,15 @@
 
 
 def value_at(run: dict, path: str) -> float:
-    """The value at a dotted path of a scale run; a story goes by its name."""
+    """The value at a dotted path of a scale run's result, with stories by name."""
     found = run
     for key in path.split("."):
-        found = {one["story"]: one for one in found}[key] if isinstance(found, list) else found[key]
+        found = {story["story"]: story for story in found}[key] if isinstance(found, list) else found[key]
     return found
 
 
 def observed(text: str, runs: list[dict]) -> str:
-    """The file with each [[observed]] entry's values as the runs tell them."""
+    """Returns the text with the values of each [[observed]] entry replaced by those of the runs."""
 
     def renewed(entry: re.Match) -> str:
         points = ", ".join(f"[{run['relays']}, {value_at(run, entry[2]):.{DIGITS}g}]" for run in runs)
@@ -87,8 +87,8 @@
         result = json.loads(path.read_text())
         for quantity in result["slopes"]:
             name = names.get(quantity, quantity)
-            text, there = replaced(text, name, lines_of(result, quantity))
-            print(f"{name}: {'taken' if there else 'the file has no such slope'}", file=sys.stderr)
+            text, has_slope = replaced(text, name, lines_of(result, quantity))
+            print(f"{name}: {'updated' if has_slope else 'the file has no such slope'}", file=sys.stderr)
     if scale:
         text = observed(text, json.loads(SCALE.read_text()))
     INPUTS.write_text(text)
--- a/benchmarks/lab_scale.py
+++ b/benchmarks/lab_scale.py
@@ -1,7 +1,7 @@
-"""What a simulated day costs at size: wall time, memory, the module's share, on one core.
+"""Cost of a simulated day by size: wall time, memory and the share of the decision module, on one core.
 
 python benchmarks/lab_scale.py                    # 1,000 relays x 1,000 destinations x 5,000 a second, 60 s
-python benchmarks/lab_scale.py --fleets 10,100    # cost a notification by fleet, at five a second a relay
+python benchmarks/lab_scale.py --fleets 10,100    # cost per notification by fleet, 5 a second per relay
 """
 
 import json
@@ -19,8 +19,8 @@
 from ryestack.lab.runner import play  # noqa: E402
 
 
-def one(relays: int, destinations: int, rate: float, seconds: float, seed: int) -> dict:
-    day = scenario.of(
+def measure(relays: int, destinations: int, rate: float, seconds: float, seed: int) -> dict:
+    simulated_day = scenario.of(
         {
             "format": 1,
             "seconds": seconds,
@@ -30,20 +30,20 @@
             "topic": [{"name": "a", "effect": "collapsible", "share": 3.0}, {"name": "b"}],
         }
     )
-    s = play(day, seed).summary
-    wall, inside = s["wall"]["seconds"], s["wall"]["inside"]
+    summary = play(simulated_day, seed).summary
+    wall, inside = summary["wall"]["seconds"], summary["wall"]["inside"]
     return {
         "relays": relays,
         "destinations": destinations,
-        "notifications": s["handed"],
+        "notifications": summary["handed"],
         "wall_s": wall,
         "inside_s": inside,
         "world_s": wall - inside,
-        "us_a_notification": wall / s["handed"] * 1e6,
-        "notifications_a_second": s["handed"] / wall,
+        "us_a_notification": wall / summary["handed"] * 1e6,
+        "notifications_a_second": summary["handed"] / wall,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
-        "G": s["G"],
-        "rules_broken": sum(s["rules"].values()),
+        "G": summary["G"],
+        "rules_broken": sum(summary["rules"].values()),
     }
 
 
@@ -56,7 +56,7 @@
     seed: int = 1,
     as_json: bool = False,
 ) -> None:
-    if fleets:  # each in a process of its own, so that memory is its own
+    if fleets:  # a process for each size, so that peak memory is measured separately
         rows = []
         for fleet in fleets.split(","):
             command = [
@@ -71,14 +71,15 @@
             command += ["--destinations", str(destinations), "--seconds", str(seconds), "--seed", str(seed)]
             rows += json.loads(subprocess.run(command, check=True, capture_output=True, text=True).stdout)
     else:
-        rows = [one(relays, destinations, rate, seconds, seed)]
+        rows = [measure(relays, destinations, rate, seconds, seed)]
     if as_json:
         print(json.dumps(rows, indent=2))
         return
     for row in rows:
         print(
             "  ".join(
-                f"{k} {v:.1f}" if isinstance(v, float) and k != "G" else f"{k} {v}" for k, v in row.items()
+                f"{name} {value:.1f}" if isinstance(value, float) and name != "G" else f"{name} {value}"
+                for name, value in row.items()
             )
         )
 
--- a/benchmarks/loops.py
+++ b/benchmarks/loops.py
@@ -1,4 +1,4 @@
-"""A plain event loop beside SimPy: the same M/M/1 queue in both, events a second in one run.
+"""Compares a plain event loop with SimPy: the same M/M/1 queue in both, customers per second.
 
 SimPy is not among the requirements: pip install simpy to run this.
 """
@@ -18,11 +18,12 @@
 
 
 def plain() -> float:
-    clock, chance, waiting, busy, waits = Clock(), random.Random(1), [], [False], [0.0]
+    """Simulates the queue on the lab's clock; returns the mean wait."""
+    clock, rng, waiting, busy, waits = Clock(), random.Random(1), [], [False], [0.0]
 
-    def arrive(left: int) -> None:
-        if left:
-            clock.after(chance.expovariate(LOAD), arrive, left - 1)
+    def arrive(remaining: int) -> None:
+        if remaining:
+            clock.after(rng.expovariate(LOAD), arrive, remaining - 1)
         waiting.append(clock.now)
         if not busy[0]:
             begin()
@@ -30,7 +31,7 @@
     def begin() -> None:
         busy[0] = True
         waits[0] += clock.now - waiting.pop(0)
-        clock.after(chance.expovariate(1.0), end)
+        clock.after(rng.expovariate(1.0), end)
 
     def end() -> None:
         busy[0] = False
@@ -43,20 +44,21 @@
 
 
 def with_simpy() -> float:
-    env, chance, waits = simpy.Environment(), random.Random(1), [0.0]
+    """Simulates the queue with SimPy; returns the mean wait."""
+    env, rng, waits = simpy.Environment(), random.Random(1), [0.0]
     server = simpy.Resource(env, 1)
 
     def customer():
-        came = env.now
-        with server.request() as turn:
-            yield turn
-            waits[0] += env.now - came
-            yield env.timeout(chance.expovariate(1.0))
+        arrived = env.now
+        with server.request() as request:
+            yield request
+            waits[0] += env.now - arrived
+            yield env.timeout(rng.expovariate(1.0))
 
     def source():
         for _ in range(COUNT):
             env.process(customer())
-            yield env.timeout(chance.expovariate(LOAD))
+            yield env.timeout(rng.expovariate(LOAD))
 
     env.process(source())
     env.run()
@@ -64,11 +66,11 @@
 
 
 for pair in range(3):
-    spent = []
-    for kind in (plain, with_simpy):
+    durations = []
+    for simulate in (plain, with_simpy):
         began = time.perf_counter()
-        wait = kind()
-        spent.append(time.perf_counter() - began)
-    rate, other = (COUNT / each for each in spent)
-    print(f"plain {rate:.0f} customers/s, SimPy {other:.0f}, ratio {rate / other:.1f}")
+        wait = simulate()
+        durations.append(time.perf_counter() - began)
+    rate, simpy_rate = (COUNT / duration for duration in durations)
+    print(f"plain {rate:.0f} customers/s, SimPy {simpy_rate:.0f}, ratio {rate / simpy_rate:.1f}")
     print(f"mean wait {wait:.3f}, theory {LOAD / (1 - LOAD):.3f}")
