--- a/tests/test_peers_config.py
+++ b/tests/test_peers_config.py
@@ -199,7 +199,7 @@
         cluster = Cluster(tmp_path, 3, 7)
         held = socket.create_server(("127.0.0.1", int(cluster.peers["r2"].rpartition(":")[2])))
         try:
-            with pytest.raises(TrialFailed, match="ended with 2") as taken:
+            with pytest.raises(TrialFailed, match="exited with status 2") as taken:
                 await cluster.start()
             held.close()
             await cluster.restart("r2")
